--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,43 +1,46 @@
-//! The state of an instance, made of the parts that its modules own, and look-ups across them.
+//! The policy of one instance: its parts, their construction, and the order of a step.
+//!
+//! Each part owns its state and its decisions; this module passes what one part decides on to the
+//! others. The events of a host are taken in `events`, snapshots in `persistence`.
 
-use std::collections::BTreeMap;
+mod events;
+mod persistence;
 
-use oorandom::Rand64;
+use std::time::Duration;
 
-use crate::decisions::{
-    CLASS_PRIOR, DECAY_TIMES, EVIDENCE_PARAMETERS, LOAD_REPORT_DECAY_TIME, MIN_LATENCY_ANSWERS,
+use crate::admission::{Admission, ConcurrencyLimits, PriorityScale, decide_admission};
+use crate::endpoints::{EndpointLoads, EndpointTable};
+use crate::health::HealthChecker;
+use crate::host::DecisionSink;
+use crate::latency::{LatencyModel, Work};
+use crate::requests::{Attempt, AttemptConditions, Request, RequestTable};
+use crate::retries::{AttemptTimeouts, KeyBuilds, may_attempt, may_write};
+use crate::rollout::{
+    AttemptTarget, Evaluator, ExposureGuard, FleetComparison, FleetState, FleetView, Rollout,
+    RolloutTracker, RolloutView, VoteScheduler, attempt_conditions,
 };
-use crate::endpoints::{DecayTimes, Endpoint, EndpointLoad, Endpoints};
-use crate::evidence::EvaluationState;
-use crate::exposure::Exposure;
-use crate::latency::{ClassBaseline, LatencyBaselines};
-use crate::requests::Requests;
-use crate::schedule::Schedule;
+use crate::routing::{EndpointSelector, RoutingInputs};
+use crate::schedule::{EVALUATION_INTERVAL, SWEEP_INTERVAL, Schedule};
 use crate::settings::Settings;
-use crate::statistics::DecayingSums;
-use crate::traffic::Traffic;
-use crate::types::{EndpointState, RolloutPhase, Timestamp, whole_micros};
-use crate::votes::VotingState;
+use crate::snapshot::RouteLatency;
+use crate::statistics::{Arm, WindowKey};
+use crate::step_context::StepContext;
+use crate::types::{
+    AttemptId, AttemptIndex, BuildNumber, EndpointIndex, EndpointState, RequestId, RouteIndex,
+    Timestamp,
+};
+use crate::warm_up::SlowStart;
 
-/// Where the newest build's rollout stands.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rollout {
-    /// The newest build.
-    pub build: u32,
-    /// Stage of its evaluation.
-    pub stage: u32,
-    /// Phase of its rollout.
-    pub phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
-    pub traffic_cap: f64,
-    /// When stage and phase began.
-    pub since: Timestamp,
+/// Events since the last step.
+pub trait EventSource {
+    /// Delivers them in order, as calls on the policy.
+    fn deliver(&mut self, policy: &mut Balancer);
 }
 
 /// What an instance knows of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// As the endpoint list has it.
+    /// Its state in the endpoint list.
     pub state: EndpointState,
     /// This instance's attempts in flight there.
     pub in_flight: f64,
@@ -45,211 +48,438 @@
     pub reported_load: f64,
 }
 
-/// Time as the current step has it.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    /// The time of the current step.
-    pub now: Timestamp,
-    /// When this instance started.
-    pub started_at: Timestamp,
-    /// The step comes late: this instance stood still, and times measured in it tell of nothing
-    /// else.
-    pub stalled: bool,
+/// Number of entries in the tables of an instance; each is bounded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TableSizes {
+    /// Indexes of endpoints, in use or free.
+    pub endpoint_indexes: usize,
+    /// Names of endpoints.
+    pub endpoint_names: usize,
+    /// Pairs of build and endpoint with outcomes.
+    pub outcome_counts: usize,
+    /// Idempotency keys of which the build that answered is known.
+    pub key_builds: usize,
+    /// Open requests.
+    pub open_requests: usize,
 }
 
-/// Times to answer against the baseline, and answers, by zone.
+/// An attempt that has timed out while it is still in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct ZoneSlowdowns {
-    /// Of endpoints in this instance's zone.
-    pub own: DecayingSums<2>,
-    /// Of endpoints in other zones.
-    pub other: DecayingSums<2>,
-}
-
-impl ZoneSlowdowns {
-    /// Both as of now, with so many answers at the baseline to start with.
-    pub(crate) fn read(&mut self, prior: f64, now: Timestamp) -> ZoneComparison {
-        let slowdown = |[sum, answers]: [f64; 2]| (sum + prior) / (answers + prior);
-        ZoneComparison {
-            own: slowdown(self.own.read(now)),
-            other: slowdown(self.other.read(now)),
-        }
-    }
-}
-
-/// Slowdowns by zone, as of one time.
-pub(crate) struct ZoneComparison {
-    /// Of this instance's zone.
-    pub(crate) own: f64,
-    /// Of other zones.
-    pub(crate) other: f64,
-}
-
-/// One member of a pool that is not empty.
-pub(crate) fn draw(random: &mut Rand64, pool: &[usize]) -> usize {
-    pool[(random.rand_u64() % pool.len() as u64) as usize]
+struct TimedOutAttempt {
+    id: AttemptId,
+    age: Duration,
 }
 
 /// The policy of one instance. Its host feeds it with events and calls [`Balancer::step`].
-///
-/// Parts that tests look into are public; a host uses the methods.
 pub struct Balancer {
-    /// The told settings.
-    pub settings: Settings,
-    /// Where the newest build stands, once the platform has told.
-    pub rollout: Option<Rollout>,
-    /// Time.
-    pub clock: Clock,
-    /// When this instance ends, once it is known; all requests have their answers by then.
-    pub shutdown_deadline: Timestamp,
-    /// Source of all random draws.
-    pub random: Rand64,
-    /// Endpoints and hardware classes.
-    pub endpoints: Endpoints,
-    /// Open requests and their attempts.
-    pub requests: Requests,
-    /// Requests and attempts within the exposure window.
-    pub exposure: Exposure,
-    /// The latest build that has answered an idempotency key, where keys must not go back.
-    pub key_builds: BTreeMap<String, u32>,
-    /// Baseline latencies by route.
-    pub latency: LatencyBaselines,
-    /// How the own zone compares with others.
-    pub zone_slowdowns: ZoneSlowdowns,
-    /// Evidence and what was found by it.
-    pub evaluation: EvaluationState,
-    /// Votes.
-    pub voting: VotingState,
-    /// Traffic of this instance, and the limit on it.
-    pub traffic: Traffic,
-    /// What is due when.
-    pub schedule: Schedule,
+    context: StepContext,
+    /// When this instance ends, once that is known; all requests are answered by then.
+    shutdown_deadline: Timestamp,
+    schedule: Schedule,
+    endpoints: EndpointTable,
+    loads: EndpointLoads,
+    requests: RequestTable,
+    health: HealthChecker,
+    latency: LatencyModel,
+    slow_start: SlowStart,
+    key_builds: KeyBuilds,
+    limits: ConcurrencyLimits,
+    priorities: PriorityScale,
+    rollout: RolloutTracker,
+    exposure: ExposureGuard,
+    evaluator: Evaluator,
+    fleet_comparison: FleetComparison,
+    votes: VoteScheduler,
 }
 
+/// Construction, and what hosts and tests may look at.
 impl Balancer {
     /// An instance that starts now and knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Self {
-        let DecayTimes {
-            rates, baselines, ..
-        } = DECAY_TIMES;
-        let zone = DecayingSums::new(rates);
-        let routes = settings.routes.len();
         Balancer {
-            rollout: None,
-            clock: Clock {
-                now,
-                started_at: now,
-                stalled: false,
-            },
             shutdown_deadline: Timestamp::MAX,
-            random: Rand64::new(u128::from(seed)),
-            endpoints: Endpoints::new(DECAY_TIMES),
-            requests: Requests::default(),
-            exposure: Exposure::default(),
-            key_builds: BTreeMap::new(),
-            latency: LatencyBaselines::new(routes, baselines, MIN_LATENCY_ANSWERS),
-            zone_slowdowns: ZoneSlowdowns {
-                own: zone,
-                other: zone,
-            },
-            evaluation: EvaluationState::new(EVIDENCE_PARAMETERS),
-            voting: VotingState::new(now),
-            traffic: Traffic::new(DECAY_TIMES),
             schedule: Schedule::new(now, settings.poll_endpoints),
-            settings,
+            endpoints: EndpointTable::default(),
+            loads: EndpointLoads::default(),
+            requests: RequestTable::default(),
+            health: HealthChecker::default(),
+            latency: LatencyModel::new(settings.routes.len()),
+            slow_start: SlowStart::new(),
+            key_builds: KeyBuilds::default(),
+            limits: ConcurrencyLimits::new(),
+            priorities: PriorityScale::default(),
+            rollout: RolloutTracker::default(),
+            exposure: ExposureGuard::default(),
+            evaluator: Evaluator::default(),
+            fleet_comparison: FleetComparison::new(),
+            votes: VoteScheduler::new(now),
+            context: StepContext::new(settings, seed, now),
         }
     }
 
+    /// The time of the last step.
+    pub fn now(&self) -> Timestamp {
+        self.context.now
+    }
+
+    /// The next step that has been requested.
+    pub fn wake_up_at(&self) -> Timestamp {
+        self.schedule.wake_up_at()
+    }
+
+    /// The rollout of the newest build, once the platform has announced it.
+    pub fn rollout(&self) -> Option<Rollout> {
+        self.rollout.current()
+    }
+
+    /// The build that this instance has rejected last.
+    pub fn rejected_build(&self) -> Option<BuildNumber> {
+        self.evaluator.rejected_build()
+    }
+
+    /// Slow responses of the fleet before the rollout.
+    pub fn fleet_baseline(&self) -> Arm {
+        self.evaluator.fleet_baseline().arm
+    }
+
+    /// The latest build that has answered an idempotency key.
+    pub fn key_build(&self, key: &str) -> Option<BuildNumber> {
+        self.key_builds.get(key)
+    }
+
+    /// The sums behind the baseline latency of a route, if the route is known.
+    pub fn route_latency(&mut self, route: RouteIndex) -> Option<RouteLatency> {
+        self.latency.route_sums(Some(route), self.context.now)
+    }
+
+    /// Index of an endpoint, if it is known.
+    pub fn endpoint_index(&self, name: &str) -> Option<EndpointIndex> {
+        self.endpoints.find(name)
+    }
+
     /// State and load of an endpoint, if it is known.
     pub fn endpoint_status(&self, name: &str) -> Option<EndpointStatus> {
-        let endpoint = &self.endpoints[self.endpoints.find(name)?];
+        let index = self.endpoints.find(name)?;
         Some(EndpointStatus {
-            state: endpoint.state,
-            in_flight: endpoint.in_flight,
-            reported_load: endpoint.reported_load.in_flight,
+            state: self.endpoints[index].state,
+            in_flight: self.loads.in_flight(index),
+            reported_load: self.loads.reported(index).in_flight,
         })
     }
 
-    /// A route's latency objective in microseconds.
-    pub(crate) fn objective_micros(&self, route: usize) -> u64 {
-        whole_micros(self.settings.routes[route].latency_objective)
+    /// Number of entries in the tables.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            endpoint_indexes: self.endpoints.len(),
+            endpoint_names: self.endpoints.name_count(),
+            outcome_counts: self.evaluator.outcome_count(),
+            key_builds: self.key_builds.len(),
+            open_requests: self.requests.len(),
+        }
     }
+}
 
-    /// What an endpoint works on; reports of long ago give way to the mean of its class.
-    pub(crate) fn endpoint_load(&mut self, index: usize) -> EndpointLoad {
-        self.endpoints
-            .load(index, self.clock.now, LOAD_REPORT_DECAY_TIME)
+/// The order of a step.
+impl Balancer {
+    /// Takes the events since the last step and makes the decisions that follow from them.
+    pub fn step(
+        &mut self,
+        now: Timestamp,
+        events: &mut dyn EventSource,
+        sink: &mut dyn DecisionSink,
+    ) {
+        self.context.stalled = self.schedule.is_stalled(now);
+        self.context.now = now;
+        events.deliver(self);
+        if self.schedule.take_due_poll(now) {
+            sink.poll_endpoints();
+        }
+        if self.schedule.take_due_sweep(now) {
+            self.sweep(sink);
+        }
+        if self.schedule.take_due_evaluation(now) {
+            self.forget_expired();
+            self.evaluate(sink);
+            self.cast_vote(sink);
+            self.check_endpoints(sink);
+            self.limits.lower_unused();
+        }
+        let in_service = self.health.in_service_count(&self.endpoints);
+        self.limits.keep_minimum(in_service, &self.context);
+        self.serve_requests(sink);
+        self.schedule_wake_up(sink);
     }
 
-    /// What is usual on endpoints of this one's class.
-    pub(crate) fn class_baseline(
-        &mut self,
-        index: usize,
-        route: usize,
-        cost: f64,
-    ) -> Option<ClassBaseline> {
-        let now = self.clock.now;
-        let expected = self.latency.expected(route, cost, now)?;
-        let [slowdown, load, answers] = self.endpoints.class_of(index).baseline.read(now);
-        let answers = answers + CLASS_PRIOR;
-        Some(ClassBaseline {
-            latency: expected * (slowdown + CLASS_PRIOR) / answers,
-            load: (load + CLASS_PRIOR) / answers,
-        })
+    /// Counts the attempts in flight, notices those that take too long, and cancels those whose
+    /// request is finished.
+    fn sweep(&mut self, sink: &mut dyn DecisionSink) {
+        self.exposure.expire(&self.context);
+        let is_congested = self.limits.is_congested();
+        let timeouts = AttemptTimeouts::new(&mut self.latency, is_congested, &self.context);
+        let mut in_flight = 0.0;
+        let mut timed_out = Vec::new();
+        for mut attempt in self.requests.awaiting_response() {
+            let last_response_at = self.health.last_response_at(attempt.endpoint);
+            let timeout = timeouts.check(&mut attempt, last_response_at);
+            if timeout.endpoint_is_unresponsive {
+                self.health.mark_unresponsive(attempt.endpoint);
+            }
+            in_flight += f64::from(timeout.counts_as_in_flight);
+            if timeout.has_timed_out {
+                let age = self.context.now - attempt.sent_at;
+                timed_out.push(TimedOutAttempt {
+                    id: attempt.id,
+                    age,
+                });
+            }
+            if timeout.must_be_cancelled {
+                sink.cancel_attempt(attempt.id);
+            }
+        }
+        self.limits.set_in_flight(in_flight);
+        for attempt in timed_out {
+            self.record_timed_out(attempt);
+        }
     }
 
-    /// The fraction of its capacity that an endpoint has for certain while it warms up.
-    pub(crate) fn warm_up_fraction(&self, endpoint: &Endpoint) -> f64 {
-        let Some(started_at) = endpoint.started_at else {
-            return 1.0;
+    /// Drops evidence that has decayed, keys that bind nothing any more, and names of endpoints that
+    /// have been removed and to which nothing refers.
+    fn forget_expired(&mut self) {
+        self.evaluator.forget_expired(self.context.now);
+        self.key_builds.forget_expired(&self.endpoints);
+        let is_referenced = |index| {
+            self.evaluator.refers_to(index)
+                || self.requests.refers_to(index)
+                || self.health.check_in_flight(index)
+                || self.loads.in_flight(index) > 0.0
         };
-        let start = self.settings.warm_up_start;
-        let age = self.clock.now.micros_since(started_at) as f64;
-        let progress = age / whole_micros(self.settings.warm_up_time) as f64;
-        (start + (1.0 - start) * progress).min(1.0)
+        self.endpoints.forget_unreferenced(is_referenced);
     }
 
-    /// Seconds that sums stand for on this instance, which counts as having run for some time at
-    /// least.
-    pub(crate) fn span_seconds(&self, sums: &DecayingSums<1>, at_least_micros: u64) -> f64 {
-        let lived = self.clock.now.micros_since(self.clock.started_at);
-        sums.span_seconds(lived.max(at_least_micros))
+    fn evaluate(&mut self, sink: &mut dyn DecisionSink) {
+        let Some(rollout) = self.rollout.current() else {
+            return;
+        };
+        let fleet = FleetView {
+            endpoints: &self.endpoints,
+            health: &self.health,
+        };
+        if let Some(verdict) = self.evaluator.evaluate(rollout, fleet, &self.context) {
+            sink.report_rollback_verdict(&verdict);
+        }
+    }
+
+    fn cast_vote(&mut self, sink: &mut dyn DecisionSink) {
+        let Some(rollout) = self.rollout.current() else {
+            return;
+        };
+        let assessment = self.evaluator.assessment(rollout);
+        let vote = self.votes.next_vote(rollout, assessment, &mut self.context);
+        if let Some(ballot) = vote {
+            sink.cast_vote(ballot);
+        }
+    }
+
+    /// Checks and ejects endpoints, and measures for how long warm ones have been in service.
+    fn check_endpoints(&mut self, sink: &mut dyn DecisionSink) {
+        let now = self.context.now;
+        self.health.check_endpoints(&self.endpoints, now, sink);
+        let warm_up_time = self.context.settings.warm_up_time;
+        for (index, endpoint) in self.endpoints.ready() {
+            let started_at = endpoint.process.started_at.unwrap_or_default();
+            let is_warm = now >= started_at + warm_up_time;
+            if is_warm && !self.health.is_ejected(index) {
+                let class = endpoint.hardware_class;
+                self.slow_start
+                    .record_ready_time(class, EVALUATION_INTERVAL, now);
+            }
+        }
     }
 
-    /// The build counts as under evaluation: the rollout has not named it, or not as released.
-    /// Without any rollout told, that is each build but the oldest listed.
-    pub(crate) fn is_under_evaluation(&self, build: u32) -> bool {
-        match self.rollout {
-            Some(rollout) => {
-                let unreleased = rollout.phase != RolloutPhase::Released;
-                build > rollout.build || (build == rollout.build && unreleased)
+    /// Sends each waiting request to an endpoint, or answers it if it cannot be served in time.
+    fn serve_requests(&mut self, sink: &mut dyn DecisionSink) {
+        // Where one request finds no endpoint, no other first attempt of its route does. They are
+        // not tried, so that congestion does not cost CPU time too.
+        let mut is_saturated = vec![false; self.context.settings.routes.len()];
+        for id in self.requests.awaiting_attempt() {
+            if !self.admit(id, sink) {
+                continue;
             }
-            None => {
-                let listed = self
-                    .endpoints
-                    .iter()
-                    .filter(|e| e.state != EndpointState::Removed);
-                listed
-                    .map(|endpoint| endpoint.build)
-                    .any(|oldest| oldest < build)
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let route = request.route.get();
+            let is_interchangeable =
+                request.attempts.is_empty() && !self.context.settings.monotonic_key_builds;
+            if let Some(endpoint) = request.crash_suspect {
+                self.check_endpoint(endpoint, sink);
+            } else if self.limits.admits() && !(is_interchangeable && is_saturated[route]) {
+                match self.choose_endpoint(id) {
+                    Some(endpoint) => self.start_attempt(id, endpoint, sink),
+                    None => is_saturated[route] |= is_interchangeable,
+                }
             }
         }
     }
 
-    /// Drops evidence that says nothing any more, keys that bind nothing, and names of endpoints
-    /// that are gone and that nothing refers to: they come and go for as long as an instance lives.
-    pub(crate) fn forget_expired(&mut self) {
-        self.evaluation.forget_expired(self.clock.now);
-        let listed = self
-            .endpoints
-            .iter()
-            .filter(|e| e.state != EndpointState::Removed);
-        if let Some(oldest) = listed.map(|endpoint| endpoint.build).min() {
-            self.key_builds.retain(|_, build| *build > oldest);
+    /// Decides whether a waiting request is still served, and answers it if not.
+    fn admit(&mut self, id: RequestId, sink: &mut dyn DecisionSink) -> bool {
+        let Some(request) = self.requests.get(id) else {
+            return false;
+        };
+        let work = Work {
+            route: request.route,
+            cost: request.cost,
+        };
+        let expected = self.latency.expected(work, self.context.now);
+        let endpoints = &self.endpoints;
+        let context = &self.context;
+        let may_be_attempted = || {
+            let may_attempt = |endpoint| may_attempt(request, endpoint, endpoints, context);
+            endpoints.iter().any(may_attempt)
+        };
+        match decide_admission(request, expected, may_be_attempted, context) {
+            Admission::Serve => return true,
+            Admission::AwaitAttempt => return false,
+            Admission::Reject { retry_after } => sink.reject_request(id, retry_after),
+            Admission::Fail => sink.fail_request(id),
+        }
+        self.requests.finish(id);
+        false
+    }
+
+    fn choose_endpoint(&mut self, id: RequestId) -> Option<EndpointIndex> {
+        let request = self.requests.get(id)?;
+        let lowest_build = self.lowest_build(request);
+        let inputs = RoutingInputs {
+            view: RolloutView {
+                rollout: &self.rollout,
+                endpoints: &self.endpoints,
+            },
+            health: &self.health,
+            limits: &self.limits,
+            exposure: &self.exposure,
+            loads: &mut self.loads,
+            latency: &mut self.latency,
+            slow_start: &mut self.slow_start,
+        };
+        EndpointSelector::new(inputs, &mut self.context).choose(request, lowest_build)
+    }
+
+    /// The lowest build to which a request may be sent. While a build is being taken out, its keys
+    /// have to go back to the previous one.
+    fn lowest_build(&self, request: &Request) -> BuildNumber {
+        if self.rollout.is_ending() {
+            return BuildNumber::default();
+        }
+        self.key_builds
+            .lowest_build(request, &self.requests, &self.context)
+    }
+
+    /// Checks all guards once more for an attempt whose connection had to be established first and
+    /// that is only now written: they may have changed since the attempt was chosen. An attempt that
+    /// may not be written has certainly not been executed.
+    pub fn may_write_attempt(&mut self, id: AttemptId) -> bool {
+        let now = self.context.now;
+        let Some((request, attempt)) = self.requests.live_attempt(id, now) else {
+            return false;
+        };
+        let build = attempt.process.build;
+        let may_write = self.endpoints[attempt.endpoint].still_runs(attempt.process)
+            && build >= self.lowest_build(request)
+            && may_write(request, id.index, &self.endpoints, &self.context);
+        if !may_write {
+            return false;
+        }
+        // Rule 5 counts an attempt from when it is written.
+        let key = WindowKey {
+            build,
+            route: request.route,
+        };
+        self.exposure.remove_attempt(key, attempt.sent_at);
+        let view = RolloutView {
+            rollout: &self.rollout,
+            endpoints: &self.endpoints,
+        };
+        let may_expose = self.exposure.may_attempt(key, view, &self.context);
+        if may_expose {
+            self.exposure.record_attempt(key, now);
+        }
+        may_expose
+    }
+
+    /// The conditions under which an attempt at an endpoint is sent now.
+    fn attempt_conditions(&mut self, index: EndpointIndex) -> AttemptConditions {
+        let now = self.context.now;
+        let load = self.loads.load(self.endpoints.classed(index), now);
+        let rollout = self.rollout.current();
+        let newest = rollout.map_or(BuildNumber::new(u32::MAX), |rollout| rollout.build);
+        let fleet = FleetState {
+            rollout,
+            in_service: self.health.in_service(&self.endpoints, newest),
+            is_steady: self.is_steady(),
+            baseline: self.evaluator.fleet_baseline(),
+        };
+        let is_comparable = self.fleet_comparison.is_comparable(&fleet, &self.context);
+        let target = AttemptTarget {
+            endpoint: &self.endpoints[index],
+            load: load.in_flight,
+        };
+        attempt_conditions(&target, &fleet, is_comparable, &self.context)
+    }
+
+    /// No rollout is in progress or has ended just now, and most responses are quick.
+    fn is_steady(&self) -> bool {
+        !self.limits.is_congested() && self.rollout.has_settled(&self.context)
+    }
+
+    /// Sends a health check to an endpoint unless one is in flight.
+    fn check_endpoint(&mut self, index: EndpointIndex, sink: &mut dyn DecisionSink) {
+        if let Some(deadline) = self.health.start_check(index, self.context.now) {
+            sink.start_health_check(&self.endpoints[index].name, deadline);
+        }
+    }
+
+    /// Sends an attempt and records it in all parts.
+    fn start_attempt(&mut self, id: RequestId, index: EndpointIndex, sink: &mut dyn DecisionSink) {
+        let now = self.context.now;
+        let conditions = self.attempt_conditions(index);
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let endpoint = &self.endpoints[index];
+        let attempt = AttemptId::new(id, AttemptIndex::new(request.attempts.len()));
+        sink.start_attempt(attempt, &endpoint.name, request.deadline);
+        let started_at = endpoint.process.started_at;
+        let warm_up_time = self.context.settings.warm_up_time;
+        if started_at.is_some_and(|started_at| now - started_at < warm_up_time) {
+            self.slow_start.spend(index);
+        }
+        self.loads.start_attempt(index);
+        self.health.start_attempt(index, now);
+        self.limits.start_attempt();
+        self.fleet_comparison.record_attempt(now);
+        let key = WindowKey {
+            build: endpoint.build(),
+            route: request.route,
+        };
+        self.exposure.record_attempt(key, now);
+        let attempt = Attempt::new(index, endpoint.process, conditions, now);
+        self.requests.start_attempt(id, attempt);
+    }
+
+    fn schedule_wake_up(&mut self, sink: &mut dyn DecisionSink) {
+        let now = self.context.now;
+        let pause = if self.requests.is_empty() {
+            EVALUATION_INTERVAL
+        } else {
+            // A waiting request is given up as soon as it misses its objective, however little
+            // slack there is.
+            let next = self.requests.next_missed_objective(now);
+            next.map_or(SWEEP_INTERVAL, |next| SWEEP_INTERVAL.min(next - now))
+        };
+        if self.schedule.wake_up_after(pause, now) {
+            sink.schedule_wake_up(pause);
         }
-        let evaluation = &self.evaluation;
-        let requests = &self.requests;
-        let is_referenced = |index| evaluation.refers_to(index) || requests.refer_to(index);
-        self.endpoints.forget_unreferenced(is_referenced);
     }
 }
--- /dev/null
+++ b/crates/policy/src/balancer/events.rs
@@ -0,0 +1,366 @@
+//! Events from the host: which parts take note of each.
+
+use std::time::Duration;
+
+use super::{Balancer, TimedOutAttempt};
+use crate::admission::{LatencyObservation, RequestCost};
+use crate::endpoints::ListedChange;
+use crate::health::{EndpointOutcome, HealthChange};
+use crate::latency::{BaselineLearning, LatencySample, Work};
+use crate::requests::{Attempt, Request};
+use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer};
+use crate::types::{
+    AttemptId, AttemptOutcome, AttemptResult, EndpointEntry, EndpointIndex, HardwareClassIndex,
+    IncomingRequest, LoadReport, RequestId, RolloutPhase, RolloutStatus, Timestamp, VoteResult,
+};
+use crate::warm_up::warm_up_fraction;
+
+/// The endpoint list.
+impl Balancer {
+    /// A complete endpoint list begins: endpoints that it does not name have been removed.
+    pub fn on_complete_endpoint_list(&mut self) {
+        self.endpoints.remove_all();
+    }
+
+    /// An entry of the endpoint list.
+    pub fn on_endpoint(&mut self, entry: EndpointEntry<'_>) {
+        let own_zone = &self.context.settings.zone;
+        let change = self.endpoints.update(&entry, own_zone);
+        self.add_class(change.endpoint.class);
+        if change.is_new {
+            self.add_endpoint(change.endpoint.index);
+        }
+        if change.is_new_process {
+            self.start_process(change);
+        }
+    }
+
+    /// Makes room for a hardware class in all parts.
+    pub(super) fn add_class(&mut self, class: HardwareClassIndex) {
+        self.loads.add_class(class);
+        self.latency.add_class(class);
+        self.slow_start.add_class(class);
+    }
+
+    /// Makes room for an endpoint in all parts.
+    fn add_endpoint(&mut self, index: EndpointIndex) {
+        self.loads.add_endpoint(index);
+        self.health.add_endpoint(index);
+        self.latency.add_endpoint(index);
+        self.slow_start.add_endpoint(index);
+        self.limits.add_endpoint(index);
+        self.evaluator.add_endpoint(index);
+    }
+
+    /// Another process runs at an endpoint. One that was restarted lately can do less than its full
+    /// capacity, so it starts slowly.
+    fn start_process(&mut self, change: ListedChange) {
+        let index = change.endpoint.index;
+        let now = self.context.now;
+        let started_at = self.endpoints[index].process.started_at;
+        let warm_up_time = self.context.settings.warm_up_time;
+        let warms_up = started_at.is_some_and(|started_at| now < started_at + warm_up_time);
+        let name_rank = self.endpoints.name_rank(index);
+        self.loads.start_process(index);
+        self.health.start_process(index, now);
+        self.latency.forget_endpoint(index);
+        self.limits.start_process(index, warms_up);
+        self.slow_start
+            .start_process(index, name_rank, &self.context);
+    }
+
+    /// A poll of the endpoint list has failed.
+    pub fn on_endpoint_list_failed(&mut self) {
+        let max_interval = self.context.settings.max_poll_interval;
+        let now = self.context.now;
+        self.schedule
+            .retry_poll(max_interval, &mut self.context.random, now);
+    }
+}
+
+/// Requests.
+impl Balancer {
+    /// A client has sent a request.
+    pub fn on_request(&mut self, id: RequestId, incoming: IncomingRequest<'_>) {
+        let now = self.context.now;
+        let route = incoming.route;
+        self.exposure.record_request(route, now);
+        self.slow_start.record_arrival(now);
+        let settings = &self.context.settings.routes[route.get()];
+        let cost = RequestCost::new(settings, incoming.cost_hint);
+        let work = Work {
+            route,
+            cost: cost.cost,
+        };
+        let expected = self.latency.expected(work, now);
+        let deadline = (now + incoming.time_remaining).min(self.shutdown_deadline);
+        let request = Request {
+            route,
+            idempotency_key: incoming.idempotency_key.map(String::from),
+            cost: cost.cost,
+            arrived_at: now,
+            deadline,
+            objective_deadline: deadline.min(now + settings.latency_objective),
+            priority_level: self.priorities.level(settings, cost, expected),
+            finished: false,
+            crash_suspect: None,
+            query_of_death: false,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id, request);
+    }
+
+    /// The response to an attempt has begun to stream to the client.
+    pub fn on_response_started(&mut self, id: AttemptId) {
+        self.requests.start_streaming(id);
+    }
+
+    /// The client no longer waits for an answer.
+    pub fn on_client_disconnected(&mut self, id: RequestId) {
+        self.requests.finish(id);
+    }
+
+    /// This instance ends at `deadline`: open requests must be answered before, whatever time their
+    /// clients allow.
+    pub fn begin_shutdown(&mut self, deadline: Timestamp) {
+        self.shutdown_deadline = deadline;
+        self.requests.limit_deadlines(deadline);
+    }
+}
+
+/// Ends of attempts and health checks.
+impl Balancer {
+    /// An attempt has ended.
+    pub fn on_attempt_result(&mut self, id: AttemptId, result: AttemptResult) {
+        let Some(attempt) = self.requests.finish_attempt(id, &result) else {
+            return;
+        };
+        let AttemptResult {
+            outcome, duration, ..
+        } = result;
+        let index = attempt.endpoint;
+        let suspects_crash = outcome == AttemptOutcome::ConnectionReset;
+        if suspects_crash && self.context.settings.health_checks {
+            self.requests.suspect_crash(id.request, index);
+        }
+        if let Some(request) = self.requests.get(id.request) {
+            let build = attempt.process.build;
+            self.key_builds
+                .record_outcome(request, build, outcome, &self.context);
+        }
+        if !attempt.evidence_recorded() {
+            self.record_evidence(id, outcome, duration);
+        }
+        let endpoint = self.endpoints.classed(index);
+        self.loads
+            .record_report(endpoint, result.load, self.context.now);
+        self.loads.end_attempt(index);
+        if outcome == AttemptOutcome::Succeeded {
+            self.record_success(id.request, &attempt, duration);
+        }
+        self.record_health(EndpointOutcome {
+            endpoint: index,
+            outcome,
+        });
+        self.adapt_limits(id.request, index, &result);
+        self.requests.remove_if_done(id.request);
+    }
+
+    /// Records what a response shows about the capacity and the speed of its endpoint.
+    fn record_success(&mut self, id: RequestId, attempt: &Attempt, latency: Duration) {
+        if attempt.conditions.warm {
+            let class = self.endpoints[attempt.endpoint].hardware_class;
+            self.slow_start.record_response(class, self.context.now);
+        }
+        if !self.context.stalled {
+            self.record_latency(id, attempt, latency);
+        }
+    }
+
+    /// Records an attempt that has timed out. If only responses that arrive were measured, latencies
+    /// would be underestimated.
+    pub(super) fn record_timed_out(&mut self, timed_out: TimedOutAttempt) {
+        let TimedOutAttempt { id, age } = timed_out;
+        self.record_evidence(id, AttemptOutcome::TimedOut, age);
+        let attempt = self.attempt(id);
+        if let Some(attempt) = attempt.filter(Attempt::hedge_due) {
+            self.record_latency(id.request, &attempt, age);
+        }
+    }
+
+    fn attempt(&self, id: AttemptId) -> Option<Attempt> {
+        let request = self.requests.get(id.request)?;
+        request.attempt(id.index).copied()
+    }
+
+    /// Records an attempt as evidence about its build.
+    fn record_evidence(&mut self, id: AttemptId, outcome: AttemptOutcome, latency: Duration) {
+        let now = self.context.now;
+        let Some(request) = self.requests.get(id.request) else {
+            return;
+        };
+        let Some(attempt) = request.attempt(id.index) else {
+            return;
+        };
+        let work = Work {
+            route: request.route,
+            cost: request.cost,
+        };
+        let endpoint = self.endpoints.classed(attempt.endpoint);
+        let observation = EndpointObservation {
+            load: self.loads.load(endpoint, now).in_flight,
+            class_baseline: self.latency.class_baseline(endpoint.class, work, now),
+            warm_up_fraction: warm_up_fraction(&self.endpoints[endpoint.index], &self.context),
+            last_response_at: self.health.last_response_at(endpoint.index),
+        };
+        let evidence = AttemptEvidence {
+            attempt,
+            outcome,
+            latency,
+            objective: self.context.settings.routes[request.route.get()].latency_objective,
+            endpoint: observation,
+        };
+        self.evaluator.record_attempt(&evidence, &self.context);
+    }
+
+    /// Records the latency of a response, or of an attempt whose response may be lost.
+    ///
+    /// Baselines are learned in steady times only, since congestion that a bad build leaves behind
+    /// is no baseline for the next one.
+    fn record_latency(&mut self, id: RequestId, attempt: &Attempt, latency: Duration) {
+        let now = self.context.now;
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let endpoint = self.endpoints.classed(attempt.endpoint);
+        let sample = LatencySample {
+            endpoint,
+            in_other_zone: self.endpoints[attempt.endpoint].in_other_zone,
+            work: Work {
+                route: request.route,
+                cost: request.cost,
+            },
+            latency,
+            endpoint_load: 1.0 + self.loads.load(endpoint, now).in_flight,
+        };
+        let learning = self.baseline_learning(attempt);
+        self.latency.record(&sample, learning, now);
+    }
+
+    /// Whether the latency of an attempt may change the baselines.
+    fn baseline_learning(&self, attempt: &Attempt) -> BaselineLearning {
+        let build = attempt.process.build;
+        let is_under_evaluation = self.rollout.is_under_evaluation(build, &self.endpoints);
+        if !attempt.conditions.warm || is_under_evaluation {
+            BaselineLearning::Never
+        } else if self.is_steady() {
+            BaselineLearning::Always
+        } else {
+            BaselineLearning::IfUnknown
+        }
+    }
+
+    /// Records the outcome of an attempt for the health of its endpoint.
+    fn record_health(&mut self, ended: EndpointOutcome) {
+        let EndpointOutcome { endpoint, outcome } = ended;
+        let change = self
+            .health
+            .record_outcome(ended, &self.endpoints, &self.context);
+        self.apply_health_change(endpoint, change);
+        let is_caused_by_load =
+            outcome == AttemptOutcome::TimedOut && self.limits.fleet_is_overloaded();
+        if outcome.counts_against_endpoint() && !is_caused_by_load {
+            self.latency.record_failure(endpoint, self.context.now);
+        }
+    }
+
+    fn apply_health_change(&mut self, endpoint: EndpointIndex, change: HealthChange) {
+        match change {
+            HealthChange::None => {}
+            HealthChange::ReturnedToService => {
+                self.latency.forget_endpoint(endpoint);
+                self.limits.return_to_service(endpoint);
+            }
+        }
+    }
+
+    /// Adapts the concurrency limits to the end of an attempt.
+    fn adapt_limits(&mut self, id: RequestId, endpoint: EndpointIndex, result: &AttemptResult) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let observed = LatencyObservation {
+            endpoint,
+            endpoint_in_flight: self.loads.in_flight(endpoint),
+            outcome: result.outcome,
+            latency: result.duration,
+            objective: self.context.settings.routes[request.route.get()].latency_objective,
+        };
+        self.limits.record(&observed, &self.context);
+    }
+
+    /// A health check has ended.
+    pub fn on_health_check(
+        &mut self,
+        name: &str,
+        outcome: AttemptOutcome,
+        load: Option<LoadReport>,
+    ) {
+        let Some(index) = self.endpoints.find(name) else {
+            return;
+        };
+        let now = self.context.now;
+        self.loads
+            .record_report(self.endpoints.classed(index), load, now);
+        let is_down = matches!(
+            outcome,
+            AttemptOutcome::Refused | AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
+        );
+        self.requests.resolve_crash(index, is_down);
+        let ended = EndpointOutcome {
+            endpoint: index,
+            outcome,
+        };
+        let change = self.health.record_check(ended, &self.endpoints, now);
+        self.apply_health_change(index, change);
+    }
+}
+
+/// The rollout.
+impl Balancer {
+    /// The platform has announced the state of the newest build's rollout.
+    pub fn on_rollout_status(&mut self, status: RolloutStatus) {
+        let now = self.context.now;
+        let change = self.rollout.update(status, now);
+        if change.has_lower_cap {
+            let applies_from = now + self.context.settings.grace_period;
+            self.exposure.restart_counting(applies_from);
+        }
+        if change.is_new_build {
+            let rate = self.fleet_comparison.attempts_per_second(&self.context);
+            let in_service = self.health.in_service_count(&self.endpoints);
+            self.evaluator.begin_rollout(in_service, rate, now);
+        }
+        if status.phase == RolloutPhase::RollingBack {
+            self.evaluator.discard_fleet_outcomes(now);
+        }
+    }
+
+    /// The platform has responded to the pending vote.
+    pub fn on_vote_result(&mut self, result: VoteResult) {
+        self.votes.record_result(result, self.context.now);
+    }
+
+    /// A client has complained about an answer that an endpoint gave `age` ago.
+    pub fn on_answer_flagged(&mut self, name: &str, age: Duration) {
+        if let Some(endpoint) = self.endpoints.find(name) {
+            let now = self.context.now;
+            let answer = FlaggedAnswer {
+                endpoint,
+                process: self.endpoints[endpoint].process,
+                answered_at: now - age,
+            };
+            self.evaluator.record_complaint(answer, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/endpoints/table.rs
@@ -0,0 +1,174 @@
+//! The table of endpoints and hardware classes, by index and by name.
+//!
+//! Bounded by [`EndpointTable::forget_unreferenced`]: names that are no longer listed and to which
+//! nothing refers are dropped, and their indexes are used again.
+
+use std::collections::BTreeMap;
+use std::ops::Index;
+
+use super::endpoint::{ClassedEndpoint, Endpoint, Process};
+use crate::types::{BuildNumber, EndpointEntry, EndpointIndex, EndpointState, HardwareClassIndex};
+
+/// What an entry of the endpoint list has changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ListedChange {
+    /// The endpoint and its hardware class, which may be new.
+    pub(crate) endpoint: ClassedEndpoint,
+    /// Its index was not in use before the entry.
+    pub(crate) is_new: bool,
+    /// Another process runs there than before.
+    pub(crate) is_new_process: bool,
+}
+
+/// All endpoints and the names of the hardware classes.
+#[derive(Debug, Default)]
+pub(crate) struct EndpointTable {
+    slots: Vec<Endpoint>,
+    by_name: BTreeMap<String, EndpointIndex>,
+    classes: Vec<String>,
+}
+
+impl EndpointTable {
+    /// Takes one entry of the endpoint list.
+    pub(crate) fn update(&mut self, entry: &EndpointEntry<'_>, own_zone: &str) -> ListedChange {
+        let hardware_class = self.find_or_insert_class(entry.hardware_class);
+        let known = self.find(entry.name);
+        let index = known.unwrap_or_else(|| self.insert(entry.name));
+        let endpoint = &mut self.slots[index.get()];
+        let process = Process {
+            build: entry.build,
+            started_at: entry.started_at,
+        };
+        let is_new_process = endpoint.process != process;
+        endpoint.zone = entry.zone.into();
+        endpoint.in_other_zone = entry.zone != own_zone;
+        endpoint.cell = entry.cell;
+        endpoint.hardware_class = hardware_class;
+        endpoint.process = process;
+        endpoint.state = entry.state;
+        ListedChange {
+            endpoint: ClassedEndpoint {
+                index,
+                class: hardware_class,
+            },
+            is_new: known.is_none(),
+            is_new_process,
+        }
+    }
+
+    /// A complete list begins: endpoints that it does not name have been removed.
+    pub(crate) fn remove_all(&mut self) {
+        for endpoint in &mut self.slots {
+            endpoint.state = EndpointState::Removed;
+        }
+    }
+
+    /// Adds a name that is not known; it takes the first index that is free.
+    fn insert(&mut self, name: &str) -> EndpointIndex {
+        let endpoint = Endpoint::new(name);
+        let is_free = |index: &EndpointIndex| !self.is_named(*index);
+        let index = self.indexes().find(is_free);
+        let index = index.unwrap_or(EndpointIndex::new(self.slots.len()));
+        match self.slots.get_mut(index.get()) {
+            Some(slot) => *slot = endpoint,
+            None => self.slots.push(endpoint),
+        }
+        self.by_name.insert(name.into(), index);
+        index
+    }
+
+    /// Index of the hardware class of this name, known before or not.
+    pub(crate) fn find_or_insert_class(&mut self, name: &str) -> HardwareClassIndex {
+        let known = self.classes.iter().position(|class| class == name);
+        let position = known.unwrap_or_else(|| {
+            self.classes.push(name.into());
+            self.classes.len() - 1
+        });
+        HardwareClassIndex::new(position)
+    }
+
+    /// Indexes and names of all hardware classes.
+    pub(crate) fn classes(&self) -> impl Iterator<Item = (HardwareClassIndex, &str)> {
+        let classes = self.classes.iter().enumerate();
+        classes.map(|(position, name)| (HardwareClassIndex::new(position), name.as_str()))
+    }
+
+    /// Name of a hardware class.
+    pub(crate) fn class_name(&self, class: HardwareClassIndex) -> &str {
+        &self.classes[class.get()]
+    }
+
+    /// Number of indexes in use or free for another endpoint.
+    pub(crate) fn len(&self) -> usize {
+        self.slots.len()
+    }
+
+    /// Number of names that are known.
+    pub(crate) fn name_count(&self) -> usize {
+        self.by_name.len()
+    }
+
+    /// All indexes in their order, including those that are free for another endpoint.
+    pub(crate) fn indexes(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
+        (0..self.slots.len()).map(EndpointIndex::new)
+    }
+
+    /// All endpoints in the order of their indexes, including removed ones.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
+        self.slots.iter()
+    }
+
+    /// The same with their indexes.
+    pub(crate) fn iter_indexed(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
+        let slots = self.slots.iter().enumerate();
+        slots.map(|(position, endpoint)| (EndpointIndex::new(position), endpoint))
+    }
+
+    /// Endpoints that take new requests as far as the list says, with their indexes.
+    pub(crate) fn ready(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
+        self.iter_indexed()
+            .filter(|(_, endpoint)| endpoint.is_ready())
+    }
+
+    /// Index of the endpoint of this name.
+    pub(crate) fn find(&self, name: &str) -> Option<EndpointIndex> {
+        self.by_name.get(name).copied()
+    }
+
+    /// An endpoint with its hardware class.
+    pub(crate) fn classed(&self, index: EndpointIndex) -> ClassedEndpoint {
+        let class = self[index].hardware_class;
+        ClassedEndpoint { index, class }
+    }
+
+    /// Whether this index still belongs to the name that is stored there.
+    pub(crate) fn is_named(&self, index: EndpointIndex) -> bool {
+        self.find(&self[index].name) == Some(index)
+    }
+
+    /// Position of an endpoint's name among all names, in their order.
+    pub(crate) fn name_rank(&self, index: EndpointIndex) -> usize {
+        let name = self[index].name.clone();
+        self.by_name.range(..name).count()
+    }
+
+    /// The oldest build that is listed.
+    pub(crate) fn oldest_listed_build(&self) -> Option<BuildNumber> {
+        let listed = self.iter().filter(|endpoint| endpoint.is_listed());
+        listed.map(Endpoint::build).min()
+    }
+
+    /// Drops the names of endpoints that have been removed and are not referred to.
+    pub(crate) fn forget_unreferenced(&mut self, is_referenced: impl Fn(EndpointIndex) -> bool) {
+        let slots = &self.slots;
+        self.by_name
+            .retain(|_, index| slots[index.get()].is_listed() || is_referenced(*index));
+    }
+}
+
+impl Index<EndpointIndex> for EndpointTable {
+    type Output = Endpoint;
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.slots[index.get()]
+    }
+}
--- /dev/null
+++ b/crates/policy/src/health/checker.rs
@@ -0,0 +1,254 @@
+//! Ejection and recovery of endpoints, and the health checks that decide on them.
+
+use std::time::Duration;
+
+use super::endpoint_health::EndpointHealth;
+use crate::endpoints::{Endpoint, EndpointTable};
+use crate::host::DecisionSink;
+use crate::indexed_table::IndexedTable;
+use crate::step_context::StepContext;
+use crate::types::{AttemptOutcome, BuildNumber, EndpointIndex, Timestamp};
+
+/// Time between two health checks of an ejected endpoint, and how long one may take.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// This number of refused connections in a row ejects an endpoint, however many are ejected
+/// already: it serves nothing.
+const MAX_CONSECUTIVE_REFUSALS: u32 = 2;
+/// Unresponsive endpoints are ejected while fewer than one in this number of the ready ones is.
+const MAX_EJECTED_PART: usize = 3;
+/// Time between two trial requests to an endpoint while all endpoints are ejected.
+const TRIAL_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
+
+/// What an event has changed about an endpoint's health.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HealthChange {
+    /// Nothing that concerns other parts.
+    None,
+    /// It was ejected and is in service again.
+    ReturnedToService,
+}
+
+/// The outcome of an attempt or a health check at an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct EndpointOutcome {
+    /// The endpoint.
+    pub(crate) endpoint: EndpointIndex,
+    /// How the attempt or the health check ended.
+    pub(crate) outcome: AttemptOutcome,
+}
+
+/// Endpoints in service by arm of an evaluation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct InService {
+    /// Of the newest build and later ones.
+    pub(crate) candidate: usize,
+    /// Of earlier builds.
+    pub(crate) baseline: usize,
+}
+
+impl InService {
+    /// Of all builds.
+    pub(crate) fn total(self) -> usize {
+        self.candidate + self.baseline
+    }
+}
+
+/// The health of all endpoints.
+#[derive(Debug, Default)]
+pub(crate) struct HealthChecker {
+    endpoints: IndexedTable<EndpointIndex, EndpointHealth>,
+}
+
+impl HealthChecker {
+    /// A new endpoint has taken this index.
+    pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
+        self.endpoints.put(index, EndpointHealth::default());
+    }
+
+    /// Another process runs at an endpoint.
+    pub(crate) fn start_process(&mut self, index: EndpointIndex, now: Timestamp) {
+        self.endpoints[index].start_process(now);
+    }
+
+    /// The endpoint is ejected.
+    pub(crate) fn is_ejected(&self, index: EndpointIndex) -> bool {
+        self.endpoints[index].ejected
+    }
+
+    /// When the endpoint last responded to an attempt.
+    pub(crate) fn last_response_at(&self, index: EndpointIndex) -> Timestamp {
+        self.endpoints[index].last_response_at
+    }
+
+    /// A health check of the endpoint is in flight.
+    pub(crate) fn check_in_flight(&self, index: EndpointIndex) -> bool {
+        self.endpoints[index].check_in_flight
+    }
+
+    /// Endpoints that are ready and not ejected: those of `newest` and later builds, and those of
+    /// earlier ones.
+    pub(crate) fn in_service(&self, endpoints: &EndpointTable, newest: BuildNumber) -> InService {
+        let mut in_service = InService {
+            candidate: 0,
+            baseline: 0,
+        };
+        for (index, endpoint) in endpoints.ready() {
+            if self.is_ejected(index) {
+                continue;
+            }
+            if endpoint.build() >= newest {
+                in_service.candidate += 1;
+            } else {
+                in_service.baseline += 1;
+            }
+        }
+        in_service
+    }
+
+    /// Number of endpoints that are ready and not ejected.
+    pub(crate) fn in_service_count(&self, endpoints: &EndpointTable) -> usize {
+        let ready = endpoints.ready();
+        ready.filter(|(index, _)| !self.is_ejected(*index)).count()
+    }
+
+    /// Ready endpoints of a build that are ejected.
+    pub(crate) fn ejected_of(&self, endpoints: &EndpointTable, build: BuildNumber) -> usize {
+        let of_build = endpoints
+            .ready()
+            .filter(|(_, endpoint)| endpoint.build() == build);
+        of_build
+            .filter(|(index, _)| self.is_ejected(*index))
+            .count()
+    }
+
+    /// Panic mode: there are ready endpoints, and all of them are ejected.
+    pub(crate) fn all_ejected(&self, endpoints: &EndpointTable) -> bool {
+        let mut ready = endpoints.ready().peekable();
+        ready.peek().is_some() && ready.all(|(index, _)| self.is_ejected(index))
+    }
+
+    /// In panic mode one request at a time tries each endpoint as a health check would: the fault
+    /// may lie with this instance, or with the health checks.
+    pub(crate) fn may_try_ejected(
+        &self,
+        index: EndpointIndex,
+        in_flight: f64,
+        now: Timestamp,
+    ) -> bool {
+        let next_trial_at = self.endpoints[index].last_trial_request_at + TRIAL_REQUEST_INTERVAL;
+        in_flight < 1.0 && now >= next_trial_at
+    }
+
+    /// A request has been sent to an endpoint.
+    pub(crate) fn start_attempt(&mut self, index: EndpointIndex, now: Timestamp) {
+        let health = &mut self.endpoints[index];
+        if health.ejected {
+            health.last_trial_request_at = now;
+        }
+    }
+
+    /// An attempt has passed its latency objective, and its endpoint has not responded since it was
+    /// sent.
+    pub(crate) fn mark_unresponsive(&mut self, index: EndpointIndex) {
+        self.endpoints[index].unresponsive = true;
+    }
+
+    /// Records the outcome of an attempt for the health of its endpoint.
+    pub(crate) fn record_outcome(
+        &mut self,
+        ended: EndpointOutcome,
+        endpoints: &EndpointTable,
+        context: &StepContext,
+    ) -> HealthChange {
+        let EndpointOutcome { endpoint, outcome } = ended;
+        let now = context.now;
+        let succeeded = outcome == AttemptOutcome::Succeeded;
+        let ends_panic_mode = succeeded && self.all_ejected(endpoints);
+        let health = &mut self.endpoints[endpoint];
+        let returns = ends_panic_mode && health.ejected;
+        if returns {
+            health.return_to_service(now);
+        }
+        if outcome.is_response() {
+            health.last_response_at = now;
+            health.consecutive_refusals = 0;
+        }
+        health.consecutive_refusals += u32::from(outcome == AttemptOutcome::Refused);
+        let refuses = health.consecutive_refusals >= MAX_CONSECUTIVE_REFUSALS;
+        if refuses && context.settings.health_checks && !health.ejected {
+            health.eject(now);
+        }
+        if returns {
+            HealthChange::ReturnedToService
+        } else {
+            HealthChange::None
+        }
+    }
+
+    /// Records the end of a health check.
+    pub(crate) fn record_check(
+        &mut self,
+        ended: EndpointOutcome,
+        endpoints: &EndpointTable,
+        now: Timestamp,
+    ) -> HealthChange {
+        let passed = ended.outcome == AttemptOutcome::Succeeded;
+        let panic_mode = self.all_ejected(endpoints);
+        if self.endpoints[ended.endpoint].record_check(passed, panic_mode, now) {
+            HealthChange::ReturnedToService
+        } else {
+            HealthChange::None
+        }
+    }
+
+    /// Checks ejected endpoints, and ejects unresponsive ones. Errors do not eject an endpoint,
+    /// because the evaluation of its build needs them; they only make it less likely to be chosen.
+    pub(crate) fn check_endpoints(
+        &mut self,
+        endpoints: &EndpointTable,
+        now: Timestamp,
+        sink: &mut dyn DecisionSink,
+    ) {
+        let ready = endpoints.ready();
+        let ready_count = ready.clone().count();
+        let is_ejected = |(index, _): &(EndpointIndex, &Endpoint)| self.is_ejected(*index);
+        let mut ejected_count = ready.clone().filter(is_ejected).count();
+        for (index, endpoint) in ready {
+            let health = &mut self.endpoints[index];
+            let may_eject = ejected_count * MAX_EJECTED_PART < ready_count;
+            if !health.ejected && health.unresponsive && may_eject {
+                ejected_count += 1;
+                health.eject(now);
+            } else if health.ejected
+                && now >= health.last_check_at + HEALTH_CHECK_INTERVAL
+                && let Some(deadline) = self.start_check(index, now)
+            {
+                sink.start_health_check(&endpoint.name, deadline);
+            }
+            self.endpoints[index].unresponsive = false;
+        }
+    }
+
+    /// Decides on a health check: none is sent while another is in flight. Returns the deadline of
+    /// the one that has to be sent.
+    pub(crate) fn start_check(
+        &mut self,
+        index: EndpointIndex,
+        now: Timestamp,
+    ) -> Option<Timestamp> {
+        let health = &mut self.endpoints[index];
+        if health.check_in_flight {
+            return None;
+        }
+        health.check_in_flight = true;
+        health.last_check_at = now;
+        Some(now + HEALTH_CHECK_INTERVAL)
+    }
+
+    /// Restores the ejection of an endpoint from a snapshot. It is checked immediately.
+    pub(crate) fn restore_ejection(&mut self, index: EndpointIndex, now: Timestamp) {
+        let health = &mut self.endpoints[index];
+        health.eject(now);
+        health.last_check_at = Timestamp::ZERO;
+    }
+}
--- /dev/null
+++ b/crates/policy/src/indexed_table.rs
@@ -0,0 +1,99 @@
+//! A table with one value for each index of another table.
+
+use std::marker::PhantomData;
+use std::ops::{Index, IndexMut};
+
+use crate::types::{EndpointIndex, HardwareClassIndex, RouteIndex};
+
+/// An index that stands for a position in a table.
+pub(crate) trait TableIndex: Copy {
+    /// The position.
+    fn position(self) -> usize;
+}
+
+impl TableIndex for EndpointIndex {
+    fn position(self) -> usize {
+        self.get()
+    }
+}
+
+impl TableIndex for HardwareClassIndex {
+    fn position(self) -> usize {
+        self.get()
+    }
+}
+
+impl TableIndex for RouteIndex {
+    fn position(self) -> usize {
+        self.get()
+    }
+}
+
+/// One value for each index; indexes are given out one after the other from 0.
+#[derive(Clone, Debug)]
+pub(crate) struct IndexedTable<I, T> {
+    values: Vec<T>,
+    index: PhantomData<I>,
+}
+
+impl<I, T> Default for IndexedTable<I, T> {
+    fn default() -> Self {
+        IndexedTable {
+            values: Vec::new(),
+            index: PhantomData,
+        }
+    }
+}
+
+impl<I: TableIndex, T> IndexedTable<I, T> {
+    /// A table that holds these values, from the first index on.
+    pub(crate) fn from_values(values: Vec<T>) -> Self {
+        IndexedTable {
+            values,
+            index: PhantomData,
+        }
+    }
+
+    /// Puts a value at an index, which is in the table or the next one to be added.
+    pub(crate) fn put(&mut self, index: I, value: T) {
+        match self.values.get_mut(index.position()) {
+            Some(slot) => *slot = value,
+            None => self.values.push(value),
+        }
+    }
+
+    /// Puts a value at an index unless it has one.
+    pub(crate) fn put_if_absent(&mut self, index: I, value: T) {
+        if index.position() >= self.values.len() {
+            self.values.push(value);
+        }
+    }
+
+    /// The value at an index, if it has one.
+    pub(crate) fn get_mut(&mut self, index: I) -> Option<&mut T> {
+        self.values.get_mut(index.position())
+    }
+
+    /// All values in the order of their indexes.
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
+        self.values.iter_mut()
+    }
+
+    /// Number of values.
+    pub(crate) fn len(&self) -> usize {
+        self.values.len()
+    }
+}
+
+impl<I: TableIndex, T> Index<I> for IndexedTable<I, T> {
+    type Output = T;
+    fn index(&self, index: I) -> &T {
+        &self.values[index.position()]
+    }
+}
+
+impl<I: TableIndex, T> IndexMut<I> for IndexedTable<I, T> {
+    fn index_mut(&mut self, index: I) -> &mut T {
+        &mut self.values[index.position()]
+    }
+}
--- /dev/null
+++ b/crates/policy/src/latency/model.rs
@@ -0,0 +1,313 @@
+//! All that this instance has learned of latencies.
+//!
+//! A *slowdown* is a latency as a multiple of the baseline latency of its route and cost. It is
+//! averaged for each endpoint, each hardware class and each zone.
+
+use std::time::Duration;
+
+use super::estimate::{LatencyEstimate, Work};
+use super::route_baselines::RouteBaselines;
+use super::zones::ZoneSlowdowns;
+use crate::endpoints::ClassedEndpoint;
+use crate::indexed_table::IndexedTable;
+use crate::snapshot::{ByZone, ClassLatency, RouteLatency, ZoneSlowdownSums};
+use crate::statistics::{DecayingMean, DecayingSums, TimeConstant, WeightedSum};
+use crate::types::{EndpointIndex, HardwareClassIndex, RouteIndex, Timestamp};
+
+/// Over what time slowdowns are averaged.
+const SLOWDOWN_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
+/// Baselines of hardware classes change as slowly as those of routes.
+const BASELINE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(30);
+/// Responses at the baseline that a hardware class starts with, and at the mean of its class that an
+/// endpoint starts with.
+const PRIOR_RESPONSES: f64 = 2.0;
+/// An attempt that fails counts as a response of this slowdown: a response is expected to take a
+/// quarter of its latency objective, and a failed attempt counts as all of it.
+const FAILURE_SLOWDOWN: f64 = 4.0;
+
+/// A measured latency.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LatencySample {
+    /// The endpoint that responded.
+    pub(crate) endpoint: ClassedEndpoint,
+    /// It is in another zone than this instance.
+    pub(crate) in_other_zone: bool,
+    /// The work that was done.
+    pub(crate) work: Work,
+    /// How long it took.
+    pub(crate) latency: Duration,
+    /// Requests in flight at the endpoint, including the measured one.
+    pub(crate) endpoint_load: f64,
+}
+
+/// Whether a latency may change the baselines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum BaselineLearning {
+    /// No: the endpoint warms up, or its build is under evaluation.
+    Never,
+    /// Only while no baseline is known: the fleet is not steady.
+    IfUnknown,
+    /// Yes.
+    Always,
+}
+
+/// How long a response usually takes on endpoints of one hardware class, and at which load that was
+/// learned.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct ClassBaseline {
+    /// The latency.
+    pub(crate) latency: LatencyEstimate,
+    /// Requests in flight at the endpoint, including the measured one.
+    pub(crate) load: f64,
+}
+
+/// What is known of the endpoints of one hardware class.
+#[derive(Clone, Copy, Debug)]
+struct ClassState {
+    slowdown: DecayingMean,
+    /// The sums of [`ClassLatency`], learned as baselines are.
+    baseline: DecayingSums<3>,
+}
+
+impl ClassState {
+    fn new() -> ClassState {
+        ClassState {
+            slowdown: DecayingMean::new(SLOWDOWN_TIME_CONSTANT),
+            baseline: DecayingSums::new(BASELINE_TIME_CONSTANT),
+        }
+    }
+
+    /// The mean slowdown of its endpoints.
+    fn mean_slowdown(&mut self, now: Timestamp) -> f64 {
+        let sums = self.slowdown.read(now);
+        sums.mean_with_prior(1.0, PRIOR_RESPONSES)
+    }
+}
+
+/// All that this instance has learned of latencies.
+#[derive(Debug)]
+pub(crate) struct LatencyModel {
+    routes: RouteBaselines,
+    classes: IndexedTable<HardwareClassIndex, ClassState>,
+    endpoints: IndexedTable<EndpointIndex, DecayingMean>,
+    zones: ZoneSlowdowns,
+}
+
+impl LatencyModel {
+    /// Nothing is known yet of this number of routes.
+    pub(crate) fn new(routes: usize) -> LatencyModel {
+        LatencyModel {
+            routes: RouteBaselines::new(routes),
+            classes: IndexedTable::default(),
+            endpoints: IndexedTable::default(),
+            zones: ZoneSlowdowns::new(),
+        }
+    }
+
+    /// A new endpoint has taken this index.
+    pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
+        let unknown = DecayingMean::new(SLOWDOWN_TIME_CONSTANT);
+        self.endpoints.put(index, unknown);
+    }
+
+    /// Makes room for a hardware class unless it is known.
+    pub(crate) fn add_class(&mut self, class: HardwareClassIndex) {
+        self.classes.put_if_absent(class, ClassState::new());
+    }
+
+    /// Forgets the slowdown of an endpoint, which has returned to service or started anew.
+    pub(crate) fn forget_endpoint(&mut self, index: EndpointIndex) {
+        self.endpoints[index].clear();
+    }
+
+    /// Records the latency of a response, or of an attempt whose response may be lost.
+    pub(crate) fn record(
+        &mut self,
+        sample: &LatencySample,
+        learning: BaselineLearning,
+        now: Timestamp,
+    ) {
+        let expected = self.expected(sample.work, now);
+        let class = &mut self.classes[sample.endpoint.class];
+        if let Some(expected) = expected {
+            let slowdown = expected.ratio_of(sample.latency);
+            self.endpoints[sample.endpoint.index].add(slowdown, now);
+            self.zones.record(sample.in_other_zone, slowdown, now);
+            class.slowdown.add(slowdown, now);
+        }
+        let is_learned = match learning {
+            BaselineLearning::Never => false,
+            BaselineLearning::IfUnknown => expected.is_none(),
+            BaselineLearning::Always => true,
+        };
+        if !is_learned {
+            return;
+        }
+        self.routes.record(sample.work, sample.latency, now);
+        if let Some(expected) = expected {
+            let slowdown = expected.ratio_of(sample.latency);
+            class
+                .baseline
+                .add([slowdown, sample.endpoint_load, 1.0], now);
+        }
+    }
+
+    /// Records that an attempt has failed, so that its endpoint is less likely to be chosen.
+    pub(crate) fn record_failure(&mut self, index: EndpointIndex, now: Timestamp) {
+        self.endpoints[index].add(FAILURE_SLOWDOWN, now);
+    }
+
+    /// The baseline latency of this work, where enough is known.
+    pub(crate) fn expected(&mut self, work: Work, now: Timestamp) -> Option<LatencyEstimate> {
+        self.routes.expected(work, now)
+    }
+
+    /// The baseline latency of each route for one unit of cost, infinite where it is not known.
+    pub(crate) fn expected_per_cost(
+        &mut self,
+        now: Timestamp,
+    ) -> IndexedTable<RouteIndex, LatencyEstimate> {
+        self.routes.expected_per_cost(now)
+    }
+
+    /// Responses of all routes together, as of the last reading.
+    pub(crate) fn known_responses(&self) -> f64 {
+        self.routes.known_responses()
+    }
+
+    /// How long this work usually takes on endpoints of a hardware class, where enough is known.
+    pub(crate) fn class_baseline(
+        &mut self,
+        class: HardwareClassIndex,
+        work: Work,
+        now: Timestamp,
+    ) -> Option<ClassBaseline> {
+        let expected = self.expected(work, now)?;
+        let [slowdown, load, responses] = self.classes[class].baseline.read(now);
+        let responses = responses + PRIOR_RESPONSES;
+        let micros = expected.as_micros() * (slowdown + PRIOR_RESPONSES) / responses;
+        Some(ClassBaseline {
+            latency: LatencyEstimate::from_micros(micros),
+            load: (load + PRIOR_RESPONSES) / responses,
+        })
+    }
+
+    /// How long work of this baseline latency takes at present, by hardware class.
+    pub(crate) fn expected_by_class(
+        &mut self,
+        baseline: LatencyEstimate,
+        now: Timestamp,
+    ) -> IndexedTable<HardwareClassIndex, LatencyEstimate> {
+        let micros = baseline.as_micros();
+        let estimates = self.classes.iter_mut().map(|class| {
+            let sums = class.slowdown.read(now);
+            let responses = sums.weight + PRIOR_RESPONSES;
+            LatencyEstimate::from_micros(micros * (sums.sum + PRIOR_RESPONSES) / responses)
+        });
+        IndexedTable::from_values(estimates.collect())
+    }
+
+    /// Slowdown of an endpoint at present.
+    pub(crate) fn slowdown(&mut self, endpoint: ClassedEndpoint, now: Timestamp) -> f64 {
+        let of_class = self.classes[endpoint.class].mean_slowdown(now);
+        let own = self.endpoints[endpoint.index].read(now);
+        own.mean_with_prior(of_class, PRIOR_RESPONSES)
+    }
+
+    /// Mean slowdowns of this instance's zone and of the others.
+    pub(crate) fn zone_slowdowns(&mut self, now: Timestamp) -> ByZone<f64> {
+        self.zones.means(now)
+    }
+}
+
+/// The sums of one hardware class, as snapshots store them.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub(crate) struct ClassLatencyRecord {
+    /// Sum of the slowdowns and number of responses.
+    pub(crate) slowdown: WeightedSum,
+    /// The same while baselines were learned.
+    pub(crate) baseline: ClassLatency,
+}
+
+/// Reading and restoring the sums for snapshots.
+impl LatencyModel {
+    /// The sums of an endpoint.
+    pub(crate) fn endpoint_sums(&mut self, index: EndpointIndex, now: Timestamp) -> WeightedSum {
+        self.endpoints[index].read(now)
+    }
+
+    /// Restores the sums of an endpoint.
+    pub(crate) fn restore_endpoint(
+        &mut self,
+        index: EndpointIndex,
+        sums: WeightedSum,
+        now: Timestamp,
+    ) {
+        self.endpoints[index].set(sums, now);
+    }
+
+    /// The sums of a hardware class.
+    pub(crate) fn class_sums(
+        &mut self,
+        class: HardwareClassIndex,
+        now: Timestamp,
+    ) -> ClassLatencyRecord {
+        let class = &mut self.classes[class];
+        ClassLatencyRecord {
+            slowdown: class.slowdown.read(now),
+            baseline: class.baseline.read(now).into(),
+        }
+    }
+
+    /// Restores the slowdowns of a hardware class.
+    pub(crate) fn restore_class_slowdown(
+        &mut self,
+        class: HardwareClassIndex,
+        sums: WeightedSum,
+        now: Timestamp,
+    ) {
+        self.classes[class].slowdown.set(sums, now);
+    }
+
+    /// Restores the baseline of a hardware class.
+    pub(crate) fn restore_class_baseline(
+        &mut self,
+        class: HardwareClassIndex,
+        sums: ClassLatency,
+        now: Timestamp,
+    ) {
+        self.classes[class].baseline.set(sums.into(), now);
+    }
+
+    /// The sums of one route, or of all routes together, if the route is known.
+    pub(crate) fn route_sums(
+        &mut self,
+        route: Option<RouteIndex>,
+        now: Timestamp,
+    ) -> Option<RouteLatency> {
+        let sums = self.routes.sums_mut(route)?;
+        Some(sums.read(now).into())
+    }
+
+    /// Restores the sums of one route, or of all routes together; an unknown route is ignored.
+    pub(crate) fn restore_route(
+        &mut self,
+        route: Option<RouteIndex>,
+        sums: RouteLatency,
+        now: Timestamp,
+    ) {
+        if let Some(restored) = self.routes.sums_mut(route) {
+            restored.set(sums.into(), now);
+        }
+    }
+
+    /// The sums of this instance's zone and of the others.
+    pub(crate) fn zone_sums(&mut self, now: Timestamp) -> ZoneSlowdownSums {
+        self.zones.read(now)
+    }
+
+    /// Restores the sums of the zones.
+    pub(crate) fn restore_zones(&mut self, sums: ZoneSlowdownSums, now: Timestamp) {
+        self.zones.restore(sums, now);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/latency/route_baselines.rs
@@ -0,0 +1,79 @@
+//! Baseline latency by route: how long a request of a given cost takes on a healthy fleet.
+
+use std::time::Duration;
+
+use super::estimate::{LatencyEstimate, Work};
+use crate::indexed_table::IndexedTable;
+use crate::statistics::{DecayingSums, TimeConstant};
+use crate::types::{RouteIndex, Timestamp, fractional_micros};
+
+/// Baselines change slowly, so that one does not follow a fleet that degrades.
+const TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(30);
+/// Responses of all routes together that are needed for an estimate; a route of its own starts
+/// with as many at the mean of all routes.
+const MIN_RESPONSES: f64 = 5.0;
+
+/// Latencies by route, and of all routes together, which stand in where few are known of one.
+#[derive(Debug)]
+pub(super) struct RouteBaselines {
+    routes: IndexedTable<RouteIndex, DecayingSums<3>>,
+    all_routes: DecayingSums<3>,
+}
+
+impl RouteBaselines {
+    /// Nothing is known yet of this number of routes.
+    pub(super) fn new(routes: usize) -> RouteBaselines {
+        let unknown = DecayingSums::new(TIME_CONSTANT);
+        RouteBaselines {
+            routes: IndexedTable::from_values(vec![unknown; routes]),
+            all_routes: unknown,
+        }
+    }
+
+    /// Records a response.
+    pub(super) fn record(&mut self, work: Work, latency: Duration, now: Timestamp) {
+        let values = [fractional_micros(latency), work.cost, 1.0];
+        self.all_routes.add(values, now);
+        self.routes[work.route].add(values, now);
+    }
+
+    /// The baseline latency of this work, where enough is known.
+    pub(super) fn expected(&mut self, work: Work, now: Timestamp) -> Option<LatencyEstimate> {
+        let [all_latency, all_cost, all_responses] = self.all_routes.read(now);
+        let [own_latency, own_cost, _] = self.routes[work.route].read(now);
+        if all_responses < MIN_RESPONSES {
+            return None;
+        }
+        let prior_cost = MIN_RESPONSES * all_cost / all_responses;
+        let prior_latency = prior_cost * all_latency / all_cost;
+        let micros = (own_latency + prior_latency) / (own_cost + prior_cost) * work.cost;
+        Some(LatencyEstimate::from_micros(micros))
+    }
+
+    /// The baseline latency of each route for one unit of cost, infinite where it is not known.
+    pub(super) fn expected_per_cost(
+        &mut self,
+        now: Timestamp,
+    ) -> IndexedTable<RouteIndex, LatencyEstimate> {
+        let routes = (0..self.routes.len()).map(RouteIndex::new);
+        let estimates = routes.map(|route| {
+            self.expected(Work { route, cost: 1.0 }, now)
+                .unwrap_or(LatencyEstimate::INFINITE)
+        });
+        IndexedTable::from_values(estimates.collect())
+    }
+
+    /// Responses of all routes together, as of the last reading.
+    pub(super) fn known_responses(&self) -> f64 {
+        let [_, _, responses] = self.all_routes.last_read();
+        responses
+    }
+
+    /// The sums of one route, or of all routes together, if the route is known.
+    pub(super) fn sums_mut(&mut self, route: Option<RouteIndex>) -> Option<&mut DecayingSums<3>> {
+        match route {
+            Some(route) => self.routes.get_mut(route),
+            None => Some(&mut self.all_routes),
+        }
+    }
+}
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,33 +1,44 @@
 //! The policy of a tidescale instance: it routes requests while the software behind it is being
-//! replaced, judges the build under evaluation from its own attempts, and votes to hold it or to
-//! roll it back. It does no I/O.
+//! replaced, evaluates the new build by its own attempts, and votes to hold the rollout or to roll
+//! the build back. It does no I/O.
 //!
-//! A host implements the two traits in [`host`] and drives a [`Balancer`]; [`settings`] and
-//! [`types`] are the values that cross this border, and [`snapshot`] is what survives a restart.
-//! Inside, `decisions` holds every choice and every tuned value; the other modules are the tables,
-//! statistics and look-ups that it works with.
+//! A host implements [`EventSource`] and [`host::DecisionSink`] and drives a [`Balancer`];
+//! [`settings`] and [`types`] are the values that cross this border, and [`snapshot`] has the
+//! records that survive a restart.
+//!
+//! Inside, there is a folder for each concern, with its state, its decisions and its tuned values
+//! behind one type. Each imports only modules above it in this list:
+//!
+//! - `endpoints`: the table of endpoints and their load
+//! - `requests`: open requests and their attempts
+//! - `health`: ejection, health checks, panic mode
+//! - `latency`: baseline latencies and slowdowns
+//! - `warm_up`: slow start
+//! - `retries`: idempotency, time-outs, hedged requests
+//! - `admission`: concurrency limits, priorities, load shedding
+//! - `rollout`: evidence, evaluation, exposure, votes
+//! - `routing`: choice of an endpoint
+//! - `balancer`: puts the parts together
 
-mod attempts;
+mod admission;
 mod balancer;
-mod candidates;
-pub mod concurrency;
-pub mod decisions;
-pub mod endpoints;
-mod events;
-pub mod evidence;
-pub mod exposure;
-pub mod health;
+mod endpoints;
+mod health;
 pub mod host;
-pub mod latency;
-pub mod requests;
+mod indexed_table;
+mod latency;
+mod requests;
+mod retries;
+mod rollout;
+mod routing;
 mod schedule;
 pub mod settings;
 pub mod snapshot;
 pub mod statistics;
-pub mod traffic;
+mod step_context;
 pub mod types;
-mod verdict;
-pub mod votes;
+mod warm_up;
 
-pub use balancer::{Balancer, Clock, EndpointStatus, Rollout, ZoneSlowdowns};
-pub use schedule::Schedule;
+pub use balancer::{Balancer, EndpointStatus, EventSource, TableSizes};
+pub use rollout::Rollout;
+pub use schedule::SWEEP_INTERVAL;
--- /dev/null
+++ b/crates/policy/src/rollout.rs
@@ -0,0 +1,22 @@
+//! The rollout of a new build: what is evidence about it, its evaluation by the sequential test,
+//! how much traffic it may get (rule 5), and the votes on it.
+
+mod attempt_conditions;
+mod evaluator;
+mod evidence;
+mod exposure;
+mod fleet_baseline;
+mod outcome_table;
+mod parameters;
+mod status;
+mod verdict;
+mod voting;
+
+pub(crate) use attempt_conditions::{AttemptTarget, attempt_conditions};
+pub(crate) use evaluator::{Evaluator, FlaggedAnswer, FleetView};
+pub(crate) use evidence::{AttemptEvidence, EndpointObservation};
+pub(crate) use exposure::ExposureGuard;
+pub(crate) use fleet_baseline::{FleetBaseline, FleetComparison, FleetState};
+pub use status::Rollout;
+pub(crate) use status::{RolloutTracker, RolloutView};
+pub(crate) use voting::VoteScheduler;
--- /dev/null
+++ b/crates/policy/src/rollout/attempt_conditions.rs
@@ -0,0 +1,54 @@
+//! The conditions under which an attempt is sent, which decide with what its outcome is compared.
+
+use std::time::Duration;
+
+use super::fleet_baseline::FleetState;
+use crate::endpoints::Endpoint;
+use crate::requests::AttemptConditions;
+use crate::step_context::StepContext;
+
+/// An endpoint is judged from this time after its start on.
+pub(super) const START_UP_TIME: Duration = Duration::from_secs(3);
+
+/// The endpoint to which an attempt is sent.
+#[derive(Debug)]
+pub(crate) struct AttemptTarget<'a> {
+    /// The endpoint.
+    pub(crate) endpoint: &'a Endpoint,
+    /// Requests in flight there.
+    pub(crate) load: f64,
+}
+
+/// The conditions of an attempt that is sent now.
+pub(crate) fn attempt_conditions(
+    target: &AttemptTarget<'_>,
+    fleet: &FleetState<'_>,
+    comparable_to_baseline: bool,
+    context: &StepContext,
+) -> AttemptConditions {
+    let endpoint = target.endpoint;
+    let is_candidate = fleet
+        .rollout
+        .is_some_and(|rollout| endpoint.build() >= rollout.build);
+    let other_arm = if is_candidate {
+        fleet.in_service.baseline
+    } else {
+        fleet.in_service.candidate
+    };
+    let has_run_for = |time| has_run_for(endpoint, time, context);
+    AttemptConditions {
+        past_start_up: has_run_for(START_UP_TIME),
+        warm: has_run_for(START_UP_TIME.max(context.settings.warm_up_time)),
+        endpoint_load: target.load,
+        has_concurrent_baseline: other_arm > 0,
+        comparable_to_baseline,
+    }
+}
+
+/// Whether the process of an endpoint has run for at least this time.
+fn has_run_for(endpoint: &Endpoint, time: Duration, context: &StepContext) -> bool {
+    endpoint
+        .process
+        .started_at
+        .is_none_or(|started_at| context.now - started_at >= time)
+}
--- /dev/null
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -0,0 +1,255 @@
+//! Outcomes by build and endpoint, and the arms of each test that are made of them.
+
+use std::collections::BTreeMap;
+use std::ops::Bound;
+
+use super::evaluator::FleetView;
+use super::parameters::{
+    EVIDENCE_TIME_CONSTANTS, FLEET_SHARE, MAX_RESTORED_BASELINE_OUTCOMES,
+    MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
+};
+use crate::statistics::{Arm, Arms, EndpointShare, OutcomeCounts, OutcomeKey, PerTest};
+use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
+
+/// The evidence that one evaluation looks at.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Evidence {
+    /// This instance's own outcomes.
+    own: PerTest<Arms>,
+    /// Outcomes from before this instance's restart.
+    restored: PerTest<Arms>,
+    /// What the tests look at: own and restored outcomes, and what is added where there are few.
+    tested: PerTest<Arms>,
+    /// No endpoint of the baseline is in service.
+    pub(super) candidate_is_alone: bool,
+}
+
+impl Evidence {
+    /// Adds the fleet before the rollout, with which the whole fleet is compared.
+    pub(super) fn set_fleet_baseline(&mut self, baseline: Arm) {
+        self.tested[EvidenceTest::FleetSlowdown].baseline = baseline;
+    }
+
+    /// What a test looks at.
+    pub(super) fn tested(&self, test: EvidenceTest) -> Arms {
+        self.tested[test]
+    }
+
+    /// This instance's own outcomes of the build under evaluation.
+    pub(super) fn own_candidate(&self, test: EvidenceTest) -> Arm {
+        self.own[test].candidate
+    }
+
+    /// Outcomes of the build under evaluation from before this instance's restart.
+    pub(super) fn restored_candidate(&self, test: EvidenceTest) -> Arm {
+        self.restored[test].candidate
+    }
+
+    /// How many of the restored outcomes of the build under evaluation a test counts.
+    pub(super) fn counted_restored_outcomes(&self, test: EvidenceTest) -> f64 {
+        let restored = self.restored_candidate(test).outcomes;
+        restored.min(MAX_RESTORED_CANDIDATE_OUTCOMES)
+    }
+}
+
+/// Outcomes by build and endpoint: this instance's own, and those restored from a snapshot.
+///
+/// Bounded by [`OutcomeTable::forget_expired`], since all counts decay.
+#[derive(Debug, Default)]
+pub(super) struct OutcomeTable {
+    own: BTreeMap<OutcomeKey, OutcomeCounts>,
+    restored: BTreeMap<OutcomeKey, OutcomeCounts>,
+}
+
+impl OutcomeTable {
+    /// Adds one outcome to each test for which it is evidence: whether it is a failure there.
+    pub(super) fn record(
+        &mut self,
+        key: OutcomeKey,
+        is_failure: PerTest<Option<bool>>,
+        now: Timestamp,
+    ) {
+        let counts = self.own.entry(key).or_default();
+        counts.add(is_failure, now, &EVIDENCE_TIME_CONSTANTS);
+    }
+
+    /// Adds a failure to one test whose outcome has been counted before.
+    pub(super) fn record_late_failure(
+        &mut self,
+        key: OutcomeKey,
+        test: EvidenceTest,
+        now: Timestamp,
+    ) {
+        let counts = self.own.entry(key).or_default();
+        counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+        counts.failures[test] += 1.0;
+    }
+
+    /// Restores outcomes from a snapshot.
+    pub(super) fn restore(&mut self, key: OutcomeKey, counts: OutcomeCounts) {
+        self.restored.insert(key, counts);
+    }
+
+    /// The sum of own and restored counts of one build and endpoint.
+    pub(super) fn total(&mut self, key: OutcomeKey, now: Timestamp) -> OutcomeCounts {
+        let mut total = OutcomeCounts::default();
+        for counts in [&mut self.own, &mut self.restored] {
+            if let Some(counts) = counts.get_mut(&key) {
+                counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+                total.add_counts(counts);
+            }
+        }
+        total
+    }
+
+    /// Up to `limit` keys that have counts, in order from the first one that is not before `from`.
+    pub(super) fn keys_from(&self, from: OutcomeKey, limit: usize) -> Vec<OutcomeKey> {
+        let range = (Bound::Included(from), Bound::Unbounded);
+        let own = self.own.range(range).map(|(key, _)| *key).take(limit);
+        let restored = self.restored.range(range).map(|(key, _)| *key).take(limit);
+        let mut keys: Vec<OutcomeKey> = own.chain(restored).collect();
+        keys.sort_unstable();
+        keys.dedup();
+        keys
+    }
+
+    /// Number of keys with own counts.
+    pub(super) fn len(&self) -> usize {
+        self.own.len()
+    }
+
+    /// Drops counts of which next to nothing is left.
+    pub(super) fn forget_expired(&mut self, now: Timestamp) {
+        for counts in [&mut self.own, &mut self.restored] {
+            counts.retain(|_, counts| {
+                counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+                !counts.is_negligible()
+            });
+        }
+    }
+
+    /// Whether there are counts of this endpoint.
+    pub(super) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
+        let mut keys = self.own.keys().chain(self.restored.keys());
+        keys.any(|key| key.endpoint == endpoint)
+    }
+
+    /// The slow responses of the fleet's best endpoints, which are counted anew from now on.
+    pub(super) fn take_fleet_arm(&mut self, now: Timestamp) -> Arm {
+        let mut shares = Vec::new();
+        for counts in self.own.values_mut() {
+            counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+            let test = EvidenceTest::FleetSlowdown;
+            let outcomes = std::mem::take(&mut counts.outcomes[test]);
+            let failures = std::mem::take(&mut counts.failures[test]);
+            shares.push(EndpointShare { outcomes, failures });
+        }
+        Arm::of_best(shares, FLEET_SHARE)
+    }
+
+    /// All evidence on the newest build, except for the fleet before the rollout.
+    pub(super) fn evidence(
+        &mut self,
+        newest: BuildNumber,
+        fleet: FleetView<'_>,
+        now: Timestamp,
+    ) -> Evidence {
+        let OwnEvidence {
+            arms: own,
+            fleet: fleet_shares,
+        } = self.own_evidence(newest, fleet, now);
+        let restored = self.restored_evidence(newest, now);
+        let mut tested = own;
+        for test in EvidenceTest::ALL {
+            add_restored(&mut tested[test], restored[test]);
+        }
+        tested[EvidenceTest::FleetSlowdown].candidate = Arm::of_best(fleet_shares, FLEET_SHARE);
+        let in_service = fleet.health.in_service(fleet.endpoints, newest);
+        let candidate_is_alone = in_service.baseline == 0;
+        if candidate_is_alone {
+            let errors = &mut tested[EvidenceTest::Errors];
+            errors.baseline.add(PRIOR_OUTCOMES, PRIOR_FAILURES);
+        }
+        Evidence {
+            own,
+            restored,
+            tested,
+            candidate_is_alone,
+        }
+    }
+
+    fn own_evidence(
+        &mut self,
+        newest: BuildNumber,
+        fleet: FleetView<'_>,
+        now: Timestamp,
+    ) -> OwnEvidence {
+        let mut evidence = OwnEvidence::default();
+        for (key, counts) in counts_up_to(&mut self.own, newest) {
+            counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+            add_counts(&mut evidence.arms, counts, key.build == newest);
+            // An ejected endpoint is lost to the fleet rather than slowed down. The counts of the
+            // build that ran there before still say how fast the fleet was.
+            let is_lost = fleet.health.is_ejected(key.endpoint)
+                && fleet.endpoints[key.endpoint].build() == key.build;
+            if !is_lost {
+                let test = EvidenceTest::FleetSlowdown;
+                evidence.fleet.push(EndpointShare {
+                    outcomes: counts.outcomes[test],
+                    failures: counts.failures[test],
+                });
+            }
+        }
+        evidence
+    }
+
+    fn restored_evidence(&mut self, newest: BuildNumber, now: Timestamp) -> PerTest<Arms> {
+        let mut arms = PerTest::default();
+        for (key, counts) in counts_up_to(&mut self.restored, newest) {
+            counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
+            add_counts(&mut arms, counts, key.build == newest);
+        }
+        // The fleet may have changed over the restart.
+        arms[EvidenceTest::FleetSlowdown] = Arms::default();
+        arms
+    }
+}
+
+/// What this instance has observed itself.
+#[derive(Default)]
+struct OwnEvidence {
+    arms: PerTest<Arms>,
+    /// Slow responses by endpoint.
+    fleet: Vec<EndpointShare>,
+}
+
+/// Counts of the newest build and earlier ones.
+fn counts_up_to(
+    counts: &mut BTreeMap<OutcomeKey, OutcomeCounts>,
+    newest: BuildNumber,
+) -> impl Iterator<Item = (&OutcomeKey, &mut OutcomeCounts)> {
+    counts
+        .iter_mut()
+        .filter(move |(key, _)| key.build <= newest)
+}
+
+fn add_counts(arms: &mut PerTest<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
+    for test in EvidenceTest::ALL {
+        let share = counts.of(test);
+        let arms = &mut arms[test];
+        let arm = if is_candidate {
+            &mut arms.candidate
+        } else {
+            &mut arms.baseline
+        };
+        arm.add(share.outcomes, share.failures);
+    }
+}
+
+/// Adds outcomes from before a restart, a limited number to each arm.
+fn add_restored(arms: &mut Arms, restored: Arms) {
+    arms.candidate
+        .add_limited(restored.candidate, MAX_RESTORED_CANDIDATE_OUTCOMES);
+    arms.baseline
+        .add_limited(restored.baseline, MAX_RESTORED_BASELINE_OUTCOMES);
+}
--- /dev/null
+++ b/crates/policy/src/routing.rs
@@ -0,0 +1,6 @@
+//! Routing: which endpoint an attempt is sent to.
+
+mod candidates;
+mod selector;
+
+pub(crate) use selector::{EndpointSelector, RoutingInputs};
--- /dev/null
+++ b/crates/policy/src/routing/selector.rs
@@ -0,0 +1,235 @@
+//! Choice of an endpoint.
+//!
+//! A warming endpoint with slow-start credit comes first. Otherwise two warm endpoints are drawn at
+//! random, and the one with the lower cost is taken (power of two choices). The cost is the load
+//! relative to the hardware class times the slowdown, and a price for crossing zones.
+
+use std::collections::BTreeMap;
+
+use oorandom::Rand64;
+
+use super::candidates::Candidates;
+use crate::admission::ConcurrencyLimits;
+use crate::endpoints::{Endpoint, EndpointLoads};
+use crate::health::HealthChecker;
+use crate::indexed_table::IndexedTable;
+use crate::latency::{LatencyEstimate, LatencyModel, Work};
+use crate::requests::Request;
+use crate::retries::may_attempt;
+use crate::rollout::{ExposureGuard, RolloutView};
+use crate::statistics::WindowKey;
+use crate::step_context::StepContext;
+use crate::types::{BuildNumber, EndpointIndex, HardwareClassIndex, RouteIndex};
+use crate::warm_up::{SlowStart, warm_up_fraction};
+
+/// The share of the remaining time within which an endpoint should usually respond.
+const TIME_SHARE: f64 = 0.6;
+/// This instance's zone is preferred while its slowdown is at most this multiple of the others', …
+const OWN_ZONE_RATIO: f64 = 0.8;
+/// … plus this multiple of the price of crossing zones, which also adds to the cost of endpoints in
+/// other zones.
+const CROSSING_FACTOR: f64 = 10.0;
+/// No endpoint counts as faster than this.
+const MIN_SLOWDOWN: f64 = 0.1;
+
+/// The parts on which routing depends.
+pub(crate) struct RoutingInputs<'a> {
+    /// The rollout and the endpoints.
+    pub(crate) view: RolloutView<'a>,
+    /// Health of the endpoints.
+    pub(crate) health: &'a HealthChecker,
+    /// Limits on attempts in flight.
+    pub(crate) limits: &'a ConcurrencyLimits,
+    /// Traffic of builds under evaluation.
+    pub(crate) exposure: &'a ExposureGuard,
+    /// Load of the endpoints.
+    pub(crate) loads: &'a mut EndpointLoads,
+    /// Latencies of routes, endpoints, hardware classes and zones.
+    pub(crate) latency: &'a mut LatencyModel,
+    /// Slow start of warming endpoints.
+    pub(crate) slow_start: &'a mut SlowStart,
+}
+
+/// Chooses the endpoint for one attempt.
+pub(crate) struct EndpointSelector<'a> {
+    inputs: RoutingInputs<'a>,
+    context: &'a mut StepContext,
+}
+
+impl<'a> EndpointSelector<'a> {
+    /// A selector for the current step.
+    pub(crate) fn new(
+        inputs: RoutingInputs<'a>,
+        context: &'a mut StepContext,
+    ) -> EndpointSelector<'a> {
+        EndpointSelector { inputs, context }
+    }
+
+    /// An endpoint for a request, of `lowest_build` or a later one.
+    pub(crate) fn choose(
+        &mut self,
+        request: &Request,
+        lowest_build: BuildNumber,
+    ) -> Option<EndpointIndex> {
+        let open = self.open_endpoints(request, lowest_build);
+        let time_limit = self.time_limit(request);
+        let expected = self.expected_by_class(request);
+        let mut candidates = Candidates::default();
+        let mut exposable = BTreeMap::new();
+        for index in open {
+            let endpoint = &self.inputs.view.endpoints[index];
+            let build = endpoint.build();
+            let may_expose = *exposable
+                .entry(build)
+                .or_insert_with(|| self.may_expose(build, request.route));
+            if !may_expose {
+                continue;
+            }
+            let warm_up_fraction = warm_up_fraction(endpoint, self.context);
+            if warm_up_fraction < 1.0 {
+                let class = endpoint.hardware_class;
+                let is_fast_enough = expected[class] < time_limit.scaled(warm_up_fraction);
+                if self.has_slow_start_credit(index) && is_fast_enough {
+                    return Some(index);
+                }
+            } else if self.inputs.view.is_under_evaluation(build) {
+                candidates.canary.push(index);
+            } else {
+                candidates.released.push(index);
+            }
+        }
+        self.keep_fast_enough(&mut candidates.released, &expected, time_limit);
+        self.keep_fast_enough(&mut candidates.canary, &expected, time_limit);
+        // The arms are chosen by the number of their warm endpoints. Warming endpoints have had
+        // their chance, and would leave their share to the warm ones of their build.
+        let prefers_canary = self.context.random.rand_float() < candidates.canary_share();
+        let arm = candidates.into_arm(prefers_canary);
+        self.choose_of_two(&arm)
+    }
+
+    /// The latency that an endpoint should usually keep.
+    fn time_limit(&self, request: &Request) -> LatencyEstimate {
+        let remaining = request.objective_deadline.micros_since(self.context.now);
+        LatencyEstimate::from_micros(TIME_SHARE * remaining as f64)
+    }
+
+    /// How long the request usually takes at present, by hardware class.
+    fn expected_by_class(
+        &mut self,
+        request: &Request,
+    ) -> IndexedTable<HardwareClassIndex, LatencyEstimate> {
+        let now = self.context.now;
+        let work = Work {
+            route: request.route,
+            cost: request.cost,
+        };
+        let baseline = self.inputs.latency.expected(work, now).unwrap_or_default();
+        self.inputs.latency.expected_by_class(baseline, now)
+    }
+
+    /// Endpoints that may take the request; of these the ones to which it has not been sent, if
+    /// there are any.
+    fn open_endpoints(&self, request: &Request, lowest_build: BuildNumber) -> Vec<EndpointIndex> {
+        let endpoints = self.inputs.view.endpoints;
+        let panic_mode = self.inputs.health.all_ejected(endpoints);
+        let is_open = |index: EndpointIndex, endpoint: &Endpoint| {
+            self.has_capacity(index, panic_mode)
+                && endpoint.build() >= lowest_build
+                && may_attempt(request, endpoint, endpoints, self.context)
+        };
+        let open: Vec<EndpointIndex> = endpoints
+            .ready()
+            .filter(|(index, endpoint)| is_open(*index, endpoint))
+            .map(|(index, _)| index)
+            .collect();
+        let is_untried = |index: &EndpointIndex| !request.was_sent_to(*index);
+        let untried: Vec<EndpointIndex> = open.iter().copied().filter(is_untried).collect();
+        if untried.is_empty() { open } else { untried }
+    }
+
+    /// Health and concurrency limit of an endpoint allow one more attempt.
+    fn has_capacity(&self, index: EndpointIndex, panic_mode: bool) -> bool {
+        let RoutingInputs { health, limits, .. } = &self.inputs;
+        let in_flight = self.inputs.loads.in_flight(index);
+        if health.is_ejected(index) {
+            panic_mode && health.may_try_ejected(index, in_flight, self.context.now)
+        } else {
+            limits.admits_at(index, in_flight)
+        }
+    }
+
+    fn may_expose(&self, build: BuildNumber, route: RouteIndex) -> bool {
+        let key = WindowKey { build, route };
+        let RoutingInputs { exposure, view, .. } = &self.inputs;
+        exposure.may_attempt(key, *view, self.context)
+    }
+
+    fn has_slow_start_credit(&mut self, index: EndpointIndex) -> bool {
+        let endpoints = self.inputs.view.endpoints;
+        let endpoint = endpoints.classed(index);
+        let slow_start = &mut self.inputs.slow_start;
+        slow_start.has_credit(endpoint, endpoints, self.context)
+    }
+
+    /// Keeps the endpoints that can respond in time, if there are any: long requests leave the slow
+    /// endpoints to short ones.
+    fn keep_fast_enough(
+        &self,
+        arm: &mut Vec<EndpointIndex>,
+        expected: &IndexedTable<HardwareClassIndex, LatencyEstimate>,
+        time_limit: LatencyEstimate,
+    ) {
+        let endpoints = self.inputs.view.endpoints;
+        let is_fast =
+            |index: &EndpointIndex| expected[endpoints[*index].hardware_class] <= time_limit;
+        if arm.iter().any(is_fast) {
+            arm.retain(is_fast);
+        }
+    }
+
+    /// The one with the lower cost of two drawn at random, the first of them from this instance's
+    /// zone unless that zone is so slow that crossing is worth its price.
+    fn choose_of_two(&mut self, arm: &[EndpointIndex]) -> Option<EndpointIndex> {
+        if arm.is_empty() {
+            return None;
+        }
+        let own_zone = self.in_own_zone(arm);
+        let prefers_own = self.prefers_own_zone() && !own_zone.is_empty();
+        let first_pool = if prefers_own { &own_zone } else { arm };
+        let first = draw(&mut self.context.random, first_pool);
+        let second = draw(&mut self.context.random, arm);
+        let second_cost = self.endpoint_cost(second);
+        let second_is_better = second_cost < self.endpoint_cost(first);
+        Some(if second_is_better { second } else { first })
+    }
+
+    fn in_own_zone(&self, arm: &[EndpointIndex]) -> Vec<EndpointIndex> {
+        let endpoints = self.inputs.view.endpoints;
+        let is_own = |index: &EndpointIndex| !endpoints[*index].in_other_zone;
+        arm.iter().copied().filter(is_own).collect()
+    }
+
+    fn prefers_own_zone(&mut self) -> bool {
+        let slowdowns = self.inputs.latency.zone_slowdowns(self.context.now);
+        let ratio = OWN_ZONE_RATIO + CROSSING_FACTOR * self.context.settings.cross_zone_price;
+        slowdowns.own <= ratio * slowdowns.other
+    }
+
+    /// The cost of sending an attempt to an endpoint.
+    fn endpoint_cost(&mut self, index: EndpointIndex) -> f64 {
+        let now = self.context.now;
+        let endpoints = self.inputs.view.endpoints;
+        let endpoint = endpoints.classed(index);
+        let load = self.inputs.loads.load(endpoint, now);
+        let slowdown = self.inputs.latency.slowdown(endpoint, now);
+        let crossing = f64::from(endpoints[index].in_other_zone);
+        let price = 1.0 + crossing * CROSSING_FACTOR * self.context.settings.cross_zone_price;
+        let relative_load = (load.in_flight + 1.0) / (load.class_mean + 1.0);
+        relative_load * slowdown.max(MIN_SLOWDOWN) * price
+    }
+}
+
+/// One member of a pool that is not empty.
+fn draw(random: &mut Rand64, pool: &[EndpointIndex]) -> EndpointIndex {
+    pool[(random.rand_u64() % pool.len() as u64) as usize]
+}
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,18 +1,18 @@
-//! The told settings that the policy reads, decoded and checked by its host.
+//! The deployment's settings that the policy reads, decoded and checked by its host.
 
 use std::time::Duration;
 
-/// Whether a repeated request can do harm.
+/// Whether it is harmful to execute a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Any number of executions has the effect of one.
     Idempotent,
-    /// Endpoints of one scope drop repeats of a key, for a window from the first attempt that may
-    /// have executed.
+    /// Endpoints of one scope drop repeated requests with the same key, for a window from the first
+    /// attempt that may have executed.
     IdempotencyKey {
-        /// Which endpoints share what they know of a key.
+        /// Which endpoints share their keys.
         scope: KeyScope,
-        /// How long they know it.
+        /// How long they keep a key.
         window: Duration,
     },
     /// Must not be executed twice.
@@ -20,7 +20,7 @@
 }
 
 impl Idempotency {
-    /// A client may repeat the request at any endpoint without harm.
+    /// A client may send the request again to any endpoint without harm.
     pub fn is_safe_everywhere(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Which endpoints share what they know of an idempotency key.
+/// Which endpoints share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -48,16 +48,16 @@
     pub name: String,
     /// An answer counts in full only if it comes within this time.
     pub latency_objective: Duration,
-    /// What an answer is worth, against other routes.
+    /// The value of an answer relative to those of other routes.
     pub priority_weight: f64,
-    /// Whether it may be repeated.
+    /// Whether it may be executed twice.
     pub idempotency: Idempotency,
 }
 
-/// All told settings that the policy reads.
+/// All settings that the policy reads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of this instance, from 0.
+    /// Index of this instance, from 0.
     pub instance_index: u32,
     /// Number of instances.
     pub instance_count: u32,
@@ -65,11 +65,11 @@
     pub zone: String,
     /// The kinds of requests, by index.
     pub routes: Vec<Route>,
-    /// The endpoint list has to be asked for.
+    /// The endpoint list has to be polled.
     pub poll_endpoints: bool,
-    /// An instance that has not asked for the list for this long counts as told of every change.
+    /// An instance that has not polled the list for this long counts as notified of every change.
     pub max_poll_interval: Duration,
-    /// Price of an answer from another zone, as a share of what it is worth.
+    /// Price of an answer from another zone, as a share of the answer's value.
     pub cross_zone_price: f64,
     /// Health checks are allowed.
     pub health_checks: bool,
@@ -79,9 +79,9 @@
     pub hedging: bool,
     /// Attempts for each request.
     pub max_attempts: usize,
-    /// The longest retry time that a client may be told; zero where none reaches it.
+    /// The longest retry time that may be sent to a client; zero where none is sent.
     pub max_retry_after: Duration,
-    /// How long after a change was told the state before it may still be acted on.
+    /// How long after the notice of a change the state before it may still be acted on.
     pub grace_period: Duration,
     /// Share of its capacity that an endpoint has right after its start.
     pub warm_up_start: f64,
@@ -93,17 +93,17 @@
     pub overload_window: Duration,
     /// Traffic cap of each stage of a rollout.
     pub stage_caps: Vec<f64>,
-    /// Attempts at a build under evaluation that are allowed beside the cap.
+    /// Attempts at a build under evaluation that are allowed in addition to the cap.
     pub exposure_allowance: f64,
     /// Attempts and requests are counted over this window.
     pub exposure_window: Duration,
-    /// They are counted for each route by itself.
+    /// They are counted for each route separately.
     pub exposure_by_route: bool,
-    /// So many first stages take idempotent requests only.
+    /// Number of first stages that take idempotent requests only.
     pub guarded_stages: u32,
     /// A key that a later build has answered must not go to an earlier one.
     pub monotonic_key_builds: bool,
-    /// Stages advance by themselves unless held.
+    /// Stages advance automatically unless held.
     pub automatic_stages: bool,
     /// The shortest time at a stage.
     pub min_stage_time: Duration,
@@ -113,6 +113,6 @@
     pub votes_per_second: f64,
     /// How long a vote counts.
     pub vote_lifetime: Duration,
-    /// How long the platform's answer to a vote is waited for.
+    /// How long the platform's response to a vote is awaited.
     pub vote_timeout: Duration,
 }
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -1,4 +1,7 @@
-//! One side of a comparison between two builds.
+//! The two sides of a comparison between builds.
+
+/// Keeps a division by a count that may be zero finite.
+const TINY: f64 = 1e-9;
 
 /// Outcomes and failures of one endpoint in one test.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,6 +12,38 @@
     pub failures: f64,
 }
 
+/// How unevenly outcomes and failures are spread over endpoints, as sums over these.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Spread {
+    /// Squares of the failures.
+    pub failures_squared: f64,
+    /// Failures times outcomes.
+    pub failures_times_outcomes: f64,
+    /// Squares of the outcomes.
+    pub outcomes_squared: f64,
+}
+
+impl From<[f64; 3]> for Spread {
+    fn from(sums: [f64; 3]) -> Spread {
+        let [failures_squared, failures_times_outcomes, outcomes_squared] = sums;
+        Spread {
+            failures_squared,
+            failures_times_outcomes,
+            outcomes_squared,
+        }
+    }
+}
+
+impl From<Spread> for [f64; 3] {
+    fn from(spread: Spread) -> [f64; 3] {
+        [
+            spread.failures_squared,
+            spread.failures_times_outcomes,
+            spread.outcomes_squared,
+        ]
+    }
+}
+
 /// One side of a test, summed over its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arm {
@@ -16,8 +51,8 @@
     pub outcomes: f64,
     /// Failures among them.
     pub failures: f64,
-    /// Sums over its endpoints: failures squared, failures times outcomes, outcomes squared.
-    pub spread: [f64; 3],
+    /// How they are spread over the endpoints.
+    pub spread: Spread,
 }
 
 impl Arm {
@@ -30,39 +65,38 @@
         }
     }
 
-    /// 1 where one endpoint gave all outcomes, and the less the more evenly they are spread.
+    /// 1 where one endpoint gave all outcomes, and less the more evenly they are spread.
     pub fn concentration(&self) -> f64 {
-        let [_, _, outcomes_squared] = self.spread;
-        outcomes_squared / self.outcomes.powi(2)
+        self.spread.outcomes_squared / self.outcomes.powi(2)
     }
 
     /// Adds one endpoint.
     pub fn add(&mut self, outcomes: f64, failures: f64) {
         self.outcomes += outcomes;
         self.failures += failures;
-        self.spread[0] += failures * failures;
-        self.spread[1] += failures * outcomes;
-        self.spread[2] += outcomes * outcomes;
+        self.spread.failures_squared += failures * failures;
+        self.spread.failures_times_outcomes += failures * outcomes;
+        self.spread.outcomes_squared += outcomes * outcomes;
     }
 
-    /// Adds this fraction of another arm's outcomes.
-    pub fn add_fraction(&mut self, other: Arm, fraction: f64) {
+    /// Adds another arm's outcomes, but at most `max_outcomes` of them: if there are more, the same
+    /// fraction of each endpoint's.
+    pub fn add_limited(&mut self, other: Arm, max_outcomes: f64) {
+        let fraction = (max_outcomes / other.outcomes.max(TINY)).min(1.0);
+        let squared = fraction * fraction;
         self.outcomes += fraction * other.outcomes;
         self.failures += fraction * other.failures;
-        for (sum, value) in self.spread.iter_mut().zip(other.spread) {
-            *sum += fraction * fraction * value;
-        }
+        self.spread.failures_squared += squared * other.spread.failures_squared;
+        self.spread.failures_times_outcomes += squared * other.spread.failures_times_outcomes;
+        self.spread.outcomes_squared += squared * other.spread.outcomes_squared;
     }
 
     /// The endpoints with the smallest shares of failures, up to this fraction of all outcomes.
     pub fn of_best(mut endpoints: Vec<EndpointShare>, fraction: f64) -> Arm {
-        let share = |endpoint: &EndpointShare| endpoint.failures / endpoint.outcomes.max(1e-9);
+        let share = |endpoint: &EndpointShare| endpoint.failures / endpoint.outcomes.max(TINY);
         endpoints.sort_by(|a, b| share(a).total_cmp(&share(b)));
-        let limit = fraction
-            * endpoints
-                .iter()
-                .map(|endpoint| endpoint.outcomes)
-                .sum::<f64>();
+        let outcomes = endpoints.iter().map(|endpoint| endpoint.outcomes);
+        let limit = fraction * outcomes.sum::<f64>();
         let mut arm = Arm::default();
         for endpoint in endpoints {
             if arm.outcomes < limit {
@@ -72,3 +106,12 @@
         arm
     }
 }
+
+/// Both sides of a test.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Arms {
+    /// The build under evaluation.
+    pub candidate: Arm,
+    /// What it is compared with.
+    pub baseline: Arm,
+}
--- a/crates/policy/src/statistics/decaying_sums.rs
+++ b/crates/policy/src/statistics/decaying_sums.rs
@@ -1,29 +1,29 @@
 //! Sums that decay exponentially.
 
+use super::TimeConstant;
 use crate::types::Timestamp;
 
 /// `N` sums that decay together with one time constant.
 ///
-/// They are brought up to date when they are read, so that a sum that nobody reads costs nothing.
+/// They are brought up to date when they are read or added to, so that an unused sum costs nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSums<const N: usize> {
     updated_at: Timestamp,
     sums: [f64; N],
-    /// In microseconds, as all times in formulas.
-    decay_time: f64,
+    time_constant: TimeConstant,
 }
 
 impl<const N: usize> DecayingSums<N> {
-    /// Empty sums that fall to 1/e in `decay_time` microseconds.
-    pub const fn new(decay_time: f64) -> Self {
+    /// Empty sums.
+    pub const fn new(time_constant: TimeConstant) -> Self {
         DecayingSums {
             updated_at: Timestamp::ZERO,
             sums: [0.0; N],
-            decay_time,
+            time_constant,
         }
     }
 
-    /// Replaces the sums by those of another time or place.
+    /// Replaces the sums by restored ones.
     pub fn set(&mut self, sums: [f64; N], now: Timestamp) {
         self.sums = sums;
         self.updated_at = now;
@@ -31,9 +31,8 @@
 
     /// The sums as of now.
     pub fn read(&mut self, now: Timestamp) -> [f64; N] {
-        let elapsed = now.micros_since(self.updated_at) as f64;
-        let kept = (-elapsed / self.decay_time).exp();
-        self.sums = self.sums.map(|sum| sum * kept);
+        let remaining = self.time_constant.remaining_between(self.updated_at, now);
+        self.sums = self.sums.map(|sum| sum * remaining);
         self.updated_at = now;
         self.sums
     }
@@ -53,11 +52,11 @@
 
     /// Empties the sums.
     pub fn clear(&mut self) {
-        *self = DecayingSums::new(self.decay_time);
+        *self = DecayingSums::new(self.time_constant);
     }
 
-    /// Seconds that the sums stand for, if they have been added to for so many microseconds.
-    pub fn span_seconds(&self, lived_micros: u64) -> f64 {
-        self.decay_time * (1.0 - (-(lived_micros as f64) / self.decay_time).exp()) / 1e6
+    /// The time constant of all sums.
+    pub fn time_constant(&self) -> TimeConstant {
+        self.time_constant
     }
 }
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -1,35 +1,35 @@
 //! Outcomes and failures of one endpoint under one build.
 
-use super::EndpointShare;
-use crate::types::{EvidenceTest, Timestamp};
+use super::{EndpointShare, PerTest, TimeConstant};
+use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
-/// Number of tests that outcomes are counted for.
-const TESTS: usize = EvidenceTest::ALL.len();
+/// Counts that are below this on all sides no longer matter.
+const NEGLIGIBLE_COUNT: f64 = 0.5;
 
-/// Whose outcomes are counted together. Ordered by build, so that one build's counts stand side by
-/// side.
+/// Whose outcomes are counted together. Ordered by build, so that the counts of one build are
+/// adjacent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CountKey {
+pub struct OutcomeKey {
     /// The build.
-    pub build: u32,
-    /// Index of the endpoint.
-    pub endpoint: usize,
+    pub build: BuildNumber,
+    /// The endpoint that ran it.
+    pub endpoint: EndpointIndex,
 }
 
-/// Decaying counts of outcomes and of the failures among them, by test; each test has a decay time
-/// of its own.
+/// Decaying counts of outcomes and of the failures among them, each test with a time constant of
+/// its own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
     updated_at: Timestamp,
     /// All outcomes.
-    pub outcomes: [f64; TESTS],
+    pub outcomes: PerTest<f64>,
     /// Outcomes that count as failures.
-    pub failures: [f64; TESTS],
+    pub failures: PerTest<f64>,
 }
 
 impl OutcomeCounts {
     /// Counts that are as given at this time.
-    pub fn new(outcomes: [f64; TESTS], failures: [f64; TESTS], now: Timestamp) -> Self {
+    pub fn new(outcomes: PerTest<f64>, failures: PerTest<f64>, now: Timestamp) -> Self {
         OutcomeCounts {
             updated_at: now,
             outcomes,
@@ -37,44 +37,52 @@
         }
     }
 
-    /// Brings the counts up to date; decay times are in microseconds.
-    pub fn decay(&mut self, now: Timestamp, decay_times: [f64; TESTS]) {
-        let elapsed = now.micros_since(self.updated_at) as f64;
-        self.updated_at = now;
-        if elapsed <= 0.0 {
+    /// Brings the counts up to date.
+    pub fn decay(&mut self, now: Timestamp, time_constants: &PerTest<TimeConstant>) {
+        let updated_at = std::mem::replace(&mut self.updated_at, now);
+        if now <= updated_at {
             return;
         }
-        for (test, decay_time) in decay_times.into_iter().enumerate() {
-            let kept = (-elapsed / decay_time).exp();
-            self.outcomes[test] *= kept;
-            self.failures[test] *= kept;
+        for test in EvidenceTest::ALL {
+            let remaining = time_constants[test].remaining_between(updated_at, now);
+            self.outcomes[test] *= remaining;
+            self.failures[test] *= remaining;
         }
     }
 
-    /// Adds one outcome to each test that it tells something for: whether it is a failure there.
+    /// Adds one outcome to each test for which it is evidence: whether it is a failure there.
     pub fn add(
         &mut self,
-        is_failure: [Option<bool>; TESTS],
+        is_failure: PerTest<Option<bool>>,
         now: Timestamp,
-        decay_times: [f64; TESTS],
+        time_constants: &PerTest<TimeConstant>,
     ) {
-        self.decay(now, decay_times);
-        for (test, is_failure) in is_failure.into_iter().enumerate() {
-            self.outcomes[test] += f64::from(is_failure.is_some());
-            self.failures[test] += f64::from(is_failure == Some(true));
+        self.decay(now, time_constants);
+        for test in EvidenceTest::ALL {
+            self.outcomes[test] += f64::from(is_failure[test].is_some());
+            self.failures[test] += f64::from(is_failure[test] == Some(true));
+        }
+    }
+
+    /// Adds counts of the same time.
+    pub fn add_counts(&mut self, other: &OutcomeCounts) {
+        for test in EvidenceTest::ALL {
+            self.outcomes[test] += other.outcomes[test];
+            self.failures[test] += other.failures[test];
         }
     }
 
     /// Outcomes of one test and the failures among them; a complaint may come without its outcome.
     pub fn of(&self, test: EvidenceTest) -> EndpointShare {
-        let outcomes = self.outcomes[test.index()];
-        let failures = self.failures[test.index()].min(outcomes);
+        let outcomes = self.outcomes[test];
+        let failures = self.failures[test].min(outcomes);
         EndpointShare { outcomes, failures }
     }
 
     /// Less than half an outcome and half a failure is left in every test.
     pub fn is_negligible(&self) -> bool {
-        let mut counts = self.outcomes.iter().chain(&self.failures);
-        counts.all(|count| *count < 0.5)
+        let outcomes = self.outcomes.as_slice().iter();
+        let mut counts = outcomes.chain(self.failures.as_slice());
+        counts.all(|count| *count < NEGLIGIBLE_COUNT)
     }
 }
--- a/crates/policy/src/statistics/sliding_window.rs
+++ b/crates/policy/src/statistics/sliding_window.rs
@@ -2,19 +2,18 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::types::Timestamp;
+use crate::types::{BuildNumber, RouteIndex, Timestamp};
 
-/// What events are counted by.
+/// By what events are told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowKey {
     /// The build, where the events have one.
-    pub build: u32,
+    pub build: BuildNumber,
     /// The route.
-    pub route: usize,
+    pub route: RouteIndex,
 }
 
-/// Times of events by build and route. Kept in order, so that a busy instance counts without going
-/// through them.
+/// Times of events by build and route, kept in order so that counting is a binary search.
 ///
 /// Its owner bounds it by [`SlidingWindow::remove_before`].
 #[derive(Debug, Default)]
@@ -40,7 +39,12 @@
     }
 
     /// How many events of a build there were at `from` or later, on one route or on all.
-    pub fn count_since(&self, build: u32, route: Option<usize>, from: Timestamp) -> usize {
+    pub fn count_since(
+        &self,
+        build: BuildNumber,
+        route: Option<RouteIndex>,
+        from: Timestamp,
+    ) -> usize {
         let counts =
             |key: &WindowKey| key.build == build && route.is_none_or(|route| key.route == route);
         let matching = self.times.iter().filter(|(key, _)| counts(key));
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -2,14 +2,14 @@
 //! Probability Ratio Test using Z-Statistics (SPRT-z): A Practical Approach for Online
 //! Experimentation".
 
-use super::Arm;
+use super::{Arm, Arms};
 
-/// How rare a test's failures are, which says how much a few of them tell of their variance.
+/// How rare a test's failures are, which decides how the variance is estimated from few of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rarity {
-    /// Failures are common: the shares seen give the variance.
+    /// Failures are common: the variance follows from the observed share.
     Common,
-    /// Failures are rare; a larger factor stands for rarer ones, with a lower floor of the
+    /// Failures are rare; a larger factor stands for rarer failures and gives a lower floor of the
     /// variance.
     Rare(f64),
 }
@@ -34,9 +34,9 @@
 
 impl ArmVariances {
     /// Standard error of the difference of the shares.
-    pub fn standard_error(self, candidate: Arm, baseline: Arm) -> f64 {
-        let candidate = self.candidate / candidate.outcomes;
-        let baseline = self.baseline / baseline.outcomes;
+    pub fn standard_error(self, arms: Arms) -> f64 {
+        let candidate = self.candidate / arms.candidate.outcomes;
+        let baseline = self.baseline / arms.baseline.outcomes;
         (candidate + baseline).sqrt()
     }
 }
@@ -51,7 +51,8 @@
 }
 
 impl VarianceModel {
-    /// Of a Bernoulli outcome, floored: no side without failures is certain of its share.
+    /// Variance of a Bernoulli outcome, with a floor: an arm without failures may have had none
+    /// only by sampling error.
     fn bernoulli(&self, arm: &Arm) -> f64 {
         let one_failure = 1.0 / (arm.outcomes + 3.0) / self.rarity.factor().max(1.0);
         let floor = self.floor_share.max(one_failure);
@@ -59,18 +60,23 @@
         share * (1.0 - share)
     }
 
-    /// How much more the arm's endpoints differ than chance has it, at least 1: a jam hits many
-    /// outcomes of one endpoint together.
+    /// The design effect: how much more the arm's endpoints differ than sampling error explains, at
+    /// least 1. An overload hits many outcomes of one endpoint together.
     fn clustering(&self, arm: &Arm) -> f64 {
         let share = arm.share();
-        let [failures_squared, product, outcomes_squared] = arm.spread;
-        let squares = failures_squared - 2.0 * share * product + share * share * outcomes_squared;
+        let spread = arm.spread;
+        let squares = spread.failures_squared - 2.0 * share * spread.failures_times_outcomes
+            + share * share * spread.outcomes_squared;
         (squares / arm.outcomes.max(1.0) / self.bernoulli(arm)).max(1.0)
     }
 
-    /// The variances of both sides. The baseline's clustering holds for a candidate of few
-    /// endpoints too, and for few rare failures so does its share.
-    pub fn variances(&self, candidate: Arm, baseline: Arm) -> ArmVariances {
+    /// The variances of both sides. The baseline's clustering is assumed for a candidate of few
+    /// endpoints too, and where few rare failures have been seen, so is its share of failures.
+    pub fn variances(&self, arms: Arms) -> ArmVariances {
+        let Arms {
+            candidate,
+            baseline,
+        } = arms;
         let weight_of_own = match self.rarity {
             Rarity::Common => 1.0,
             Rarity::Rare(factor) => {
@@ -99,25 +105,24 @@
 
 /// The score of the one-sided test: z times drift less half the drift squared.
 ///
-/// The drift has the variances of the evaluation before, since it is what was expected before these
-/// outcomes came.
+/// The drift is computed with the variances of the previous evaluation, since it is the z score
+/// that was expected before the latest outcomes.
 pub fn sprt_score(
-    candidate: Arm,
-    baseline: Arm,
+    arms: Arms,
     variances: ArmVariances,
     previous_variances: ArmVariances,
     minimum_effect: f64,
 ) -> f64 {
-    let difference = candidate.share() - baseline.share();
-    let z_score = difference / variances.standard_error(candidate, baseline);
-    let drift = minimum_effect / previous_variances.standard_error(candidate, baseline);
+    let difference = arms.candidate.share() - arms.baseline.share();
+    let z_score = difference / variances.standard_error(arms);
+    let drift = minimum_effect / previous_variances.standard_error(arms);
     z_score * drift - drift * drift / 2.0
 }
 
 /// Wald's bounds on the score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaldBounds {
-    /// The rate of false alarms that they stand for.
+    /// The rate of false alarms for which they are chosen.
     pub alpha: f64,
     /// At or below, the build is as good as the baseline.
     pub lower: f64,
@@ -135,10 +140,12 @@
         }
     }
 
-    /// What a score must show beyond the bound where many instances vote. Few false votes make a
-    /// false rollback, which is what α is for: the share of it that falls to one instance is such
-    /// that as many votes at once as are needed stay as rare. For several votes the rate at which
-    /// one instance may err is taken as the square of the root of their number less an offset.
+    /// By how much a score must exceed the bound where many instances vote.
+    ///
+    /// α bounds the rate of false rollbacks, and a rollback needs `votes` votes at once. The margin
+    /// gives each instance such a share of α that this many simultaneous false votes stay as rare
+    /// as α asks for. For several votes, the rate at which one instance may err is approximated by
+    /// the square of the root of their number less `votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, votes_offset: f64) -> f64 {
         let rate = if votes > 1.0 {
             (votes.sqrt() - votes_offset).powi(2)
