--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -42,6 +42,8 @@
 pub struct EndpointStatus {
     /// Its state in the endpoint list.
     pub state: EndpointState,
+    /// It takes no requests until health checks or a trial request show that it serves.
+    pub ejected: bool,
     /// This instance's attempts in flight there.
     pub in_flight: f64,
     /// Requests in flight that it last reported.
@@ -162,6 +164,7 @@
         let index = self.endpoints.find(name)?;
         Some(EndpointStatus {
             state: self.endpoints[index].state,
+            ejected: self.health.is_ejected(index),
             in_flight: self.loads.in_flight(index),
             reported_load: self.loads.reported(index).in_flight,
         })
