--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -136,7 +136,7 @@
         assert!(got.is_empty());
         let got = std::iter::repeat_with(|| {
             instance.step(
-                instance.policy.schedule.wake_up_at.as_micros() - instance.now,
+                instance.policy.wake_up_at().as_micros() - instance.now,
                 |_| {},
             )
         });
--- a/crates/policy/tests/policy/evaluation.rs
+++ b/crates/policy/tests/policy/evaluation.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use tidescale_policy::settings::Settings;
 use tidescale_policy::statistics::{
-    Arm, ArmVariances, EndpointShare, Rarity, VarianceModel, WaldBounds, sprt_score,
+    Arm, ArmVariances, Arms, EndpointShare, Rarity, VarianceModel, WaldBounds, sprt_score,
 };
 use tidescale_policy::types::{AttemptOutcome, RolloutPhase, VoteResult};
 
@@ -18,13 +18,17 @@
         floor_share: 0.01,
         rarity: Rarity::Rare(1.0),
     };
-    let present = model.variances(candidate, baseline);
+    let arms = Arms {
+        candidate,
+        baseline,
+    };
+    let present = model.variances(arms);
     let [of_candidate, of_baseline] = previous;
     let previous = ArmVariances {
         candidate: of_candidate,
         baseline: of_baseline,
     };
-    sprt_score(candidate, baseline, present, previous, minimum_effect)
+    sprt_score(arms, present, previous, minimum_effect)
 }
 
 #[test]
@@ -123,7 +127,7 @@
         all.extend(instance.step(10 * MS, |policy| {
             outcome(policy, id, 0, end, 10 * MS, !bad, None);
             if bad {
-                policy.on_client_disconnected(id);
+                disconnect(policy, id);
             }
         }));
     }
@@ -483,7 +487,7 @@
                 outcome(policy, next, 0, AttemptOutcome::Succeeded, took, true, None);
             });
         }
-        let [took, work, _] = instance.policy.latency.sums(Some(0)).unwrap().last_read();
+        let [took, work, _] = route_sums(&mut instance.policy, 0);
         took / work / MS as f64
     };
     let told = |instance: &mut Instance, build, phase| {
@@ -501,11 +505,11 @@
     // Some time after, it is learned again; and what the rollout saw is not held to be calm.
     serve(&mut instance, 10 * MS, 5);
     told(&mut instance, 3, RolloutPhase::Canary);
-    let calm = instance.policy.evaluation.fleet_baseline.arm;
+    let calm = instance.policy.fleet_baseline();
     assert!(calm.outcomes > 10.0 && calm.share() < 0.05, "{calm:?}");
     // A rollout that comes with no quiet time before it is held against the same.
     told(&mut instance, 3, RolloutPhase::RollingBack);
     serve(&mut instance, 40 * MS, 3);
     told(&mut instance, 4, RolloutPhase::Canary);
-    assert_eq!(instance.policy.evaluation.fleet_baseline.arm, calm);
+    assert_eq!(instance.policy.fleet_baseline(), calm);
 }
--- a/crates/policy/tests/policy/guards.rs
+++ b/crates/policy/tests/policy/guards.rs
@@ -304,7 +304,7 @@
                     None,
                 );
             });
-            (0..30).for_each(|id| policy.on_client_disconnected(id));
+            (0..30).for_each(|id| disconnect(policy, id));
             rollout_status(policy, 2, 1, RolloutPhase::Canary, cap, 0);
             request(policy, 99, 0, None, 900 * MS, 1.0);
         });
@@ -355,19 +355,14 @@
         (
             "it has started anew",
             |policy| {
-                listed(
-                    policy,
-                    1,
-                    EndpointState::Ready,
-                    policy.clock.now.as_micros(),
-                );
+                listed(policy, 1, EndpointState::Ready, policy.now().as_micros());
             },
             10,
             false,
         ),
         (
             "the client has left",
-            |policy| policy.on_client_disconnected(7),
+            |policy| disconnect(policy, 7),
             10,
             false,
         ),
@@ -383,7 +378,7 @@
         let mut may = None;
         instance.step(after * MS, |policy| {
             meanwhile(policy);
-            may = Some(policy.may_write_attempt(7, 0));
+            may = Some(may_write(policy, 7, 0));
         });
         assert_eq!(may, Some(wanted), "{what}");
     }
@@ -404,7 +399,7 @@
         assert_eq!(got, ["attempt 7 m1"]);
         let mut may = None;
         instance.step((after - 10) * MS, |policy| {
-            may = Some(policy.may_write_attempt(7, 1));
+            may = Some(may_write(policy, 7, 1));
         });
         assert_eq!(may, Some(wanted), "{route} {after}");
     }
@@ -423,7 +418,7 @@
         let mut may = None;
         instance.step(10 * MS, |policy| {
             rollout_status(policy, 2, 1, RolloutPhase::Canary, cap, 0);
-            may = Some(policy.may_write_attempt(7, 0));
+            may = Some(may_write(policy, 7, 0));
         });
         assert_eq!(may, Some(wanted), "{cap}");
     }
@@ -438,7 +433,7 @@
             rollout_status(policy, 2, 1, RolloutPhase::Canary, 0.1, 0);
             both(policy, 0);
         });
-        instance.step(late * MS, |policy| assert!(policy.may_write_attempt(1, 0)));
+        instance.step(late * MS, |policy| assert!(may_write(policy, 1, 0)));
         instance.step(MS, |policy| {
             (0..2).for_each(|id| outcome(policy, id, 0, AttemptOutcome::Succeeded, MS, true, None));
         });
@@ -508,9 +503,9 @@
         ask(policy, 1, "a");
     });
     assert_eq!(got, ["attempt 1 m1"]);
-    instance.policy.key_builds.insert("a".into(), 2);
+    instance.policy.restore_key_build("a", 2.into());
     let mut may = None;
-    instance.step(MS, |policy| may = Some(policy.may_write_attempt(1, 0)));
+    instance.step(MS, |policy| may = Some(may_write(policy, 1, 0)));
     assert_eq!(may, Some(false));
 }
 
@@ -549,7 +544,7 @@
         instance.step(MS, |policy| {
             endpoint(policy, "m2", ("z1", 0, "k"), 2, EndpointState::Draining, 0);
             outcome(policy, 2, 0, end, MS, true, None);
-            policy.on_client_disconnected(2);
+            disconnect(policy, 2);
         });
         if earlier {
             instance.step(MS, |policy| {
--- a/crates/policy/tests/policy/harness.rs
+++ b/crates/policy/tests/policy/harness.rs
@@ -2,13 +2,14 @@
 
 use std::time::Duration;
 
-use tidescale_policy::Balancer;
-use tidescale_policy::host::{DecisionSink, EventSource};
+use tidescale_policy::host::DecisionSink;
 use tidescale_policy::settings::{Idempotency, KeyScope, Route, Settings};
 use tidescale_policy::types::{
-    AttemptOutcome, AttemptResult, Ballot, EndpointEntry, EndpointState, IncomingRequest,
-    LoadReport, RollbackVerdict, RolloutPhase, RolloutStatus, Timestamp,
+    AttemptId, AttemptIndex, AttemptOutcome, AttemptResult, Ballot, EndpointEntry, EndpointState,
+    IncomingRequest, LoadReport, RequestId, RollbackVerdict, RolloutPhase, RolloutStatus,
+    RouteIndex, Timestamp,
 };
+use tidescale_policy::{Balancer, EventSource};
 
 pub const MS: u64 = 1_000;
 
@@ -17,16 +18,18 @@
 pub struct Record(pub Vec<String>);
 
 impl DecisionSink for Record {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, _deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, _deadline: Timestamp) {
+        let request = attempt.request;
         self.0.push(format!("attempt {request} {endpoint}"));
     }
-    fn cancel_attempt(&mut self, request: u64, attempt_index: usize) {
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let (request, attempt_index) = (attempt.request, attempt.index);
         self.0.push(format!("cancel {request} {attempt_index}"));
     }
-    fn reject_request(&mut self, request: u64, _retry_after: Duration) {
+    fn reject_request(&mut self, request: RequestId, _retry_after: Duration) {
         self.0.push(format!("reject {request}"));
     }
-    fn fail_request(&mut self, request: u64) {
+    fn fail_request(&mut self, request: RequestId) {
         self.0.push(format!("fail {request}"));
     }
     fn cast_vote(&mut self, Ballot { build, stage, vote }: Ballot) {
@@ -149,7 +152,7 @@
         zone,
         cell,
         hardware_class,
-        build,
+        build: build.into(),
         state,
         started_at,
     });
@@ -174,9 +177,9 @@
     let time_remaining = Duration::from_micros(micros_remaining);
     let cost_hint = (cost > 0.0).then_some(cost);
     policy.on_request(
-        id,
+        RequestId::new(id),
         IncomingRequest {
-            route,
+            route: RouteIndex::new(route),
             idempotency_key,
             time_remaining,
             cost_hint,
@@ -201,7 +204,8 @@
         request_finished,
         load,
     };
-    policy.on_attempt_result(id, attempt_index, result);
+    let id = AttemptId::new(RequestId::new(id), AttemptIndex::new(attempt_index));
+    policy.on_attempt_result(id, result);
 }
 
 /// Where a build stands, since so many microseconds.
@@ -215,10 +219,26 @@
 ) {
     let age = Duration::from_micros(micros);
     policy.on_rollout_status(RolloutStatus {
-        build,
-        stage,
+        build: build.into(),
+        stage: stage.into(),
         phase,
         traffic_cap,
         age,
     });
 }
+
+/// The client of a request no longer waits.
+pub fn disconnect(policy: &mut Balancer, id: u64) {
+    policy.on_client_disconnected(RequestId::new(id));
+}
+
+/// Whether an attempt whose connection was established late may be written.
+pub fn may_write(policy: &mut Balancer, id: u64, attempt_index: usize) -> bool {
+    let id = AttemptId::new(RequestId::new(id), AttemptIndex::new(attempt_index));
+    policy.may_write_attempt(id)
+}
+
+/// Latencies, costs and number of the responses behind the baseline latency of a route.
+pub fn route_sums(policy: &mut Balancer, route: usize) -> [f64; 3] {
+    policy.route_latency(RouteIndex::new(route)).unwrap().into()
+}
--- a/crates/policy/tests/policy/health.rs
+++ b/crates/policy/tests/policy/health.rs
@@ -2,7 +2,13 @@
 
 use crate::harness::*;
 use tidescale_policy::settings::Settings;
-use tidescale_policy::types::{AttemptOutcome, EndpointState, RolloutPhase};
+use tidescale_policy::snapshot::{
+    EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RolloutRecord,
+    RouteRecord, SnapshotSink, ZoneSlowdownSums,
+};
+use tidescale_policy::types::{
+    AttemptOutcome, BuildNumber, EndpointIndex, EndpointState, RolloutPhase, Timestamp,
+};
 
 #[test]
 fn a_query_of_death_is_not_sent_to_the_next_endpoint() {
@@ -102,29 +108,71 @@
         });
         instance.step(2700 * MS, |_| {});
     }
-    let policy = &instance.policy;
+    let sizes = instance.policy.table_sizes();
     let kept = [
-        policy.endpoints.len(),
-        policy.endpoints.named_len(),
-        policy.evaluation.counts.len(),
-        policy.key_builds.len(),
-        policy.requests.len(),
+        sizes.endpoint_indexes,
+        sizes.endpoint_names,
+        sizes.outcome_counts,
+        sizes.key_builds,
+        sizes.open_requests,
     ];
     assert!(kept.iter().all(|n| *n < 100), "{kept:?}");
     // An id that comes back is the endpoint as last listed.
     instance.step(0, |policy| {
         endpoint(policy, "m0", ("z1", 0, "k"), 99, EndpointState::Ready, 0);
     });
-    let again = instance
+    let mut listed = ListedNames::default();
+    let next = instance
         .policy
-        .endpoints
-        .iter()
-        .filter(|e| e.name == "m0")
-        .count();
-    assert_eq!(
-        (again, instance.policy.endpoints.find("m0").unwrap() < 100),
-        (1, true)
-    );
+        .save_endpoints(EndpointIndex::new(0), usize::MAX, &mut listed);
+    assert_eq!(next, None);
+    let again = listed.0.iter().filter(|name| *name == "m0").count();
+    let index = instance.policy.endpoint_index("m0").unwrap();
+    assert_eq!((again, index.get() < 100), (1, true));
+}
+
+/// The names of the endpoints that are listed.
+#[derive(Default)]
+struct ListedNames(Vec<String>);
+
+impl SnapshotSink for ListedNames {
+    fn endpoint(&mut self, record: EndpointRecord<'_>) {
+        self.0.push(record.name.into());
+    }
+    fn hardware_class(&mut self, _record: HardwareClassRecord<'_>) {}
+    fn route(&mut self, _record: RouteRecord<'_>) {}
+    fn outcomes(&mut self, _record: OutcomeRecord<'_>) {}
+    fn rejected_build(&mut self, _build: BuildNumber, _rejected_at: Timestamp) {}
+    fn fleet_baseline(&mut self, _record: FleetBaselineRecord) {}
+    fn zones(&mut self, _sums: ZoneSlowdownSums) {}
+    fn key_build(&mut self, _key: &str, _build: BuildNumber) {}
+    fn rollout(&mut self, _record: RolloutRecord) {}
+}
+
+/// Ejects an endpoint three times, so that the next time it has to pass 16 health checks to return.
+fn raise_required_passes(instance: &mut Instance, name: &str) {
+    let ejected = |instance: &Instance| instance.policy.endpoint_status(name).unwrap().ejected;
+    for required in [2, 4, 8] {
+        for id in 10_000.. {
+            if ejected(instance) {
+                break;
+            }
+            let sent = instance.step(0, |policy| request(policy, id, 2, None, 400 * MS, 1.0));
+            let end = if sent[0].ends_with(name) {
+                AttemptOutcome::Refused
+            } else {
+                AttemptOutcome::NotSent
+            };
+            instance.step(0, |policy| outcome(policy, id, 0, end, 0, true, None));
+        }
+        for passed in 0..required {
+            assert!(ejected(instance), "{passed} of {required}");
+            instance.step(0, |policy| {
+                policy.on_health_check(name, AttemptOutcome::Succeeded, None);
+            });
+        }
+        assert!(!ejected(instance), "{required}");
+    }
 }
 
 #[test]
@@ -135,6 +183,11 @@
         instance.step(0, |policy| {
             warm(policy, "m1", "z1", 1);
             warm(policy, "m2", "z1", 1);
+        });
+        ["m1", "m2"]
+            .iter()
+            .for_each(|name| raise_required_passes(&mut instance, name));
+        instance.step(0, |policy| {
             (1..5).for_each(|id| request(policy, id, 2, None, 400 * MS, 1.0));
         });
         instance.step(0, |policy| {
@@ -143,11 +196,6 @@
         instance.step(0, |policy| {
             (1..5).for_each(|id| outcome(policy, id, 1, AttemptOutcome::Refused, MS, false, None));
         });
-        instance
-            .policy
-            .endpoints
-            .iter_mut()
-            .for_each(|e| e.health.passes_required = 16);
         let (begun, mut tried) = (instance.now, None);
         for id in 0..20u64 {
             let got: Vec<_> = (0..10)
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -25,17 +25,18 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn an_attempt_that_may_be_lost_is_hedged_and_the_first_answer_counts() {
-    // route, time since the first attempt, answers are hard -> what goes out, and what an answer of the second cancels
+    // route, time since the first attempt, requests rejected under load before -> what goes out, and what an answer of the second cancels
     let table = [
-        (0, 251, false, vec!["attempt 900 m2"], vec!["cancel 900 0"]),
-        (0, 240, false, vec![], vec![]),
-        (0, 251, true, vec![], vec![]),
+        (0, 251, 0, vec!["attempt 900 m2"], vec!["cancel 900 0"]),
+        (0, 240, 0, vec![], vec![]),
+        (0, 251, 20, vec!["attempt 900 m2"], vec!["cancel 900 0"]),
+        (0, 251, 60, vec![], vec![]),
         // Its repeat would have to come within 300 ms, in the same zone.
-        (1, 251, false, vec!["attempt 900 m2"], vec!["cancel 900 0"]),
-        (1, 310, false, vec![], vec![]),
-        (2, 251, false, vec![], vec![]),
+        (1, 251, 0, vec!["attempt 900 m2"], vec!["cancel 900 0"]),
+        (1, 310, 0, vec![], vec![]),
+        (2, 251, 0, vec![], vec![]),
     ];
-    for (route, passed, hard, sent, cancelled) in table {
+    for (route, passed, rejected, sent, cancelled) in table {
         let mut instance = Instance::new(settings());
         instance.step(0, |policy| warm(policy, "m1", "z1", 1));
         for id in 0..120 {
@@ -54,7 +55,17 @@
                 );
             });
         }
-        let [took, _, answers] = instance.policy.latency.sums(Some(0)).unwrap().last_read();
+        // Requests rejected under load are slow responses, whatever time they took.
+        for id in 200..200 + rejected {
+            let sent = instance.step(10 * MS, |policy| {
+                request(policy, id, 0, None, 900 * MS, 1.0)
+            });
+            assert_eq!(sent, [format!("attempt {id} m1")]);
+            instance.step(0, |policy| {
+                outcome(policy, id, 0, AttemptOutcome::Overloaded, 0, true, None);
+            });
+        }
+        let [took, _, answers] = route_sums(&mut instance.policy, 0);
         let usual = took / answers;
         assert_eq!(
             count(
@@ -71,15 +82,6 @@
             1
         );
         instance.step(0, |policy| warm(policy, "m2", "z1", 1));
-        if hard {
-            let now = instance.policy.clock.now;
-            instance
-                .policy
-                .traffic
-                .limit
-                .latency_ratio
-                .set([60.0, 60.0], now);
-        }
         let got = instance.step(passed * MS, |_| {});
         let tries: Vec<_> = got
             .iter()
@@ -88,7 +90,7 @@
         assert_eq!(
             tries,
             sent.iter().collect::<Vec<_>>(),
-            "{route} {passed} {hard}"
+            "{route} {passed} {rejected}"
         );
         if !sent.is_empty() {
             let got = instance.step(20 * MS, |policy| {
@@ -105,7 +107,7 @@
             let got: Vec<_> = got.iter().filter(|l| l.starts_with("cancel")).collect();
             assert_eq!(got, cancelled.iter().collect::<Vec<_>>(), "{route}");
             // Its time counts, or ever less would seem usual.
-            let [took, _, n] = instance.policy.latency.sums(Some(0)).unwrap().last_read();
+            let [took, _, n] = route_sums(&mut instance.policy, 0);
             assert!(route > 0 || took / n > usual * 1.01, "{usual} {}", took / n);
         }
     }
--- a/crates/policy/tests/policy/rule_checker.rs
+++ b/crates/policy/tests/policy/rule_checker.rs
@@ -6,14 +6,13 @@
 
 use crate::harness::{MS, endpoint, outcome, request, rollout_status, settings};
 use oorandom::Rand64;
-use tidescale_policy::Balancer;
-use tidescale_policy::decisions::SWEEP_INTERVAL;
-use tidescale_policy::host::{DecisionSink, EventSource};
+use tidescale_policy::host::DecisionSink;
 use tidescale_policy::settings::{Idempotency, KeyScope, Settings};
 use tidescale_policy::types::{
-    AttemptOutcome, Ballot, EndpointState, RollbackVerdict, RolloutPhase, Timestamp, Vote,
-    VoteResult, whole_micros,
+    AttemptId, AttemptOutcome, Ballot, EndpointState, RequestId, RollbackVerdict, RolloutPhase,
+    Timestamp, Vote, VoteResult, whole_micros,
 };
+use tidescale_policy::{Balancer, EventSource, SWEEP_INTERVAL};
 
 const MACHINES: u64 = 9;
 const SPELL: u64 = 7 * MS;
@@ -455,7 +454,7 @@
             && let Some((&id, rq)) = self.reqs.iter_mut().next_back()
         {
             rq.over = true;
-            policy.on_client_disconnected(id);
+            policy.on_client_disconnected(RequestId::new(id));
         }
         self.new_reqs(policy);
     }
@@ -463,7 +462,8 @@
 
 /// The outside as the writer: each decision is held against the books.
 impl DecisionSink for Outside {
-    fn start_attempt(&mut self, id: u64, machine: &str, until: Timestamp) {
+    fn start_attempt(&mut self, id: AttemptId, machine: &str, until: Timestamp) {
+        let id = id.request.get();
         let until = until.as_micros();
         let i: usize = machine[1..].parse().unwrap();
         let over = self.reqs.get(&id).is_none_or(|rq| rq.over);
@@ -512,23 +512,25 @@
         };
         self.reqs.get_mut(&id).unwrap().tries.push(sent);
     }
-    fn cancel_attempt(&mut self, id: u64, n: usize) {
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let (id, n) = (attempt.request, attempt.index);
         self.demand(
             self.set.cancel_attempts,
             "limits",
             format!("a cancel of {id} {n}"),
         );
     }
-    fn reject_request(&mut self, id: u64, come_back: Duration) {
+    fn reject_request(&mut self, id: RequestId, come_back: Duration) {
         self.demand(
             come_back <= self.set.max_retry_after,
             "limits",
             format!("a time to come back for {id}"),
         );
-        self.effect(id, None);
+        self.effect(id.get(), None);
         self.fail_request(id);
     }
-    fn fail_request(&mut self, id: u64) {
+    fn fail_request(&mut self, id: RequestId) {
+        let id = id.get();
         let over = self.reqs.get(&id).is_none_or(|rq| rq.over);
         self.demand(!over, "rule 1", format!("{id} answered twice"));
         self.reqs
@@ -550,7 +552,7 @@
             Vote::RollBack | Vote::Abstain => true,
         };
         self.demand(
-            allowed && build == self.news.0,
+            allowed && build.get() == self.news.0,
             "limits",
             format!("a vote {verdict:?} on {build}"),
         );
@@ -626,19 +628,19 @@
 struct Later<'a>(&'a mut Vec<Write>);
 
 impl DecisionSink for Later<'_> {
-    fn start_attempt(&mut self, rq: u64, machine: &str, until: Timestamp) {
+    fn start_attempt(&mut self, rq: AttemptId, machine: &str, until: Timestamp) {
         let machine = machine.to_string();
         self.0
             .push(Box::new(move |o| o.start_attempt(rq, &machine, until)));
     }
-    fn cancel_attempt(&mut self, rq: u64, n: usize) {
-        self.0.push(Box::new(move |o| o.cancel_attempt(rq, n)));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.0.push(Box::new(move |o| o.cancel_attempt(attempt)));
     }
-    fn reject_request(&mut self, rq: u64, come_back: Duration) {
+    fn reject_request(&mut self, rq: RequestId, come_back: Duration) {
         self.0
             .push(Box::new(move |o| o.reject_request(rq, come_back)));
     }
-    fn fail_request(&mut self, rq: u64) {
+    fn fail_request(&mut self, rq: RequestId) {
         self.0.push(Box::new(move |o| o.fail_request(rq)));
     }
     fn cast_vote(&mut self, ballot: Ballot) {
--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -1,14 +1,18 @@
 //! A balancer that remembers against one that does not, across a restart.
 
-use crate::harness::{Instance, MS, endpoint, outcome, request, rollout_status, settings, warm};
+use crate::harness::{
+    Instance, MS, disconnect, endpoint, outcome, request, rollout_status, settings, warm,
+};
 use tidescale_policy::Balancer;
 use tidescale_policy::settings::Settings;
 use tidescale_policy::snapshot::{
     EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RolloutRecord,
-    RouteRecord, SnapshotSink,
+    RouteRecord, SnapshotSink, ZoneSlowdownSums,
+};
+use tidescale_policy::statistics::OutcomeKey;
+use tidescale_policy::types::{
+    AttemptOutcome, BuildNumber, EndpointIndex, EndpointState, RolloutPhase, Timestamp,
 };
-use tidescale_policy::statistics::CountKey;
-use tidescale_policy::types::{AttemptOutcome, EndpointState, RolloutPhase, Timestamp};
 
 const SECOND: u64 = 1000 * MS;
 
@@ -27,35 +31,39 @@
 impl SnapshotSink for Kept {
     fn endpoint(&mut self, record: EndpointRecord<'_>) {
         self.machines
-            .push((record.name.into(), record.slowdown, record.ejected));
+            .push((record.name.into(), record.slowdown.into(), record.ejected));
     }
     fn hardware_class(&mut self, _record: HardwareClassRecord<'_>) {}
     fn route(&mut self, record: RouteRecord<'_>) {
         self.routes
-            .push((record.route.map(String::from), record.baseline));
+            .push((record.route.map(String::from), record.baseline.into()));
     }
     fn outcomes(&mut self, record: OutcomeRecord<'_>) {
         let (outcomes, failures) = (record.outcomes.into(), record.failures.into());
-        self.evidence
-            .push((record.endpoint.into(), record.build, outcomes, failures));
+        self.evidence.push((
+            record.endpoint.into(),
+            record.build.get(),
+            outcomes,
+            failures,
+        ));
     }
-    fn rejected_build(&mut self, build: u32, rejected_at: Timestamp) {
-        self.condemned = Some((build, rejected_at));
+    fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
+        self.condemned = Some((build.get(), rejected_at));
     }
     fn fleet_baseline(&mut self, _record: FleetBaselineRecord) {}
-    fn zones(&mut self, _slowdowns: [[f64; 2]; 2]) {}
-    fn key_build(&mut self, key: &str, build: u32) {
-        self.keys.push((key.into(), build));
+    fn zones(&mut self, _sums: ZoneSlowdownSums) {}
+    fn key_build(&mut self, key: &str, build: BuildNumber) {
+        self.keys.push((key.into(), build.get()));
     }
     fn rollout(&mut self, _record: RolloutRecord) {}
 }
 
 fn kept(instance: &mut Instance) -> Kept {
-    let (mut kept, mut from) = (Kept::default(), Some(0));
+    let (mut kept, mut from) = (Kept::default(), Some(EndpointIndex::new(0)));
     while let Some(at) = from {
         from = instance.policy.save_endpoints(at, 1, &mut kept);
     }
-    let mut from = Some(CountKey::default());
+    let mut from = Some(OutcomeKey::default());
     while let Some(at) = from {
         from = instance.policy.save_outcomes(at, 1, &mut kept);
     }
@@ -64,27 +72,27 @@
 }
 
 fn recall(kept: &Kept, policy: &mut Balancer) {
-    kept.machines
-        .iter()
-        .for_each(|(name, pace, aside)| policy.restore_endpoint(name, Some(*pace), *aside));
+    kept.machines.iter().for_each(|(name, pace, aside)| {
+        policy.restore_endpoint(name, Some((*pace).into()), *aside)
+    });
     for (name, build, outcomes, failures) in &kept.evidence {
         policy.restore_outcomes(OutcomeRecord {
             endpoint: name,
-            build: *build,
+            build: BuildNumber::new(*build),
             outcomes,
             failures,
         });
     }
     kept.condemned
         .into_iter()
-        .for_each(|(build, seen)| policy.restore_rejected_build(build, seen));
+        .for_each(|(build, seen)| policy.restore_rejected_build(BuildNumber::new(build), seen));
     kept.keys
         .iter()
-        .for_each(|(key, build)| policy.restore_key_build(key, *build));
+        .for_each(|(key, build)| policy.restore_key_build(key, BuildNumber::new(*build)));
     for (route, baseline) in &kept.routes {
         policy.restore_route(RouteRecord {
             route: route.as_deref(),
-            baseline: *baseline,
+            baseline: (*baseline).into(),
         });
     }
 }
@@ -128,10 +136,10 @@
         instance.step(10 * MS, |policy| {
             outcome(policy, id, 0, end, 10 * MS, !bad, None);
             if bad {
-                policy.on_client_disconnected(id);
+                disconnect(policy, id);
             }
         });
-        if instance.policy.evaluation.rejected_build == Some(2) {
+        if instance.policy.rejected_build() == Some(BuildNumber::new(2)) {
             return Some(on_new);
         }
     }
@@ -156,7 +164,7 @@
     for _ in 0..200 {
         idle.step(50 * MS, |_| {});
     }
-    assert_eq!(idle.policy.evaluation.rejected_build, None);
+    assert_eq!(idle.policy.rejected_build(), None);
     // A build that has healed, or is another under the same number, is not condemned by what was.
     assert_eq!(serve(&mut again(Some(&told)), 1000, 0), None);
     let with = serve(&mut again(Some(&told)), 2000, 4).unwrap();
@@ -198,9 +206,9 @@
                 .for_each(|m| warm(policy, m, "z1", 1));
             policy.restore_route(RouteRecord {
                 route: None,
-                baseline: [10.0 * 10_000.0, 10.0, 10.0],
+                baseline: [10.0 * 10_000.0, 10.0, 10.0].into(),
             });
-            policy.restore_endpoint("m1", Some([32.0, 4.0]), aside);
+            policy.restore_endpoint("m1", Some([32.0, 4.0].into()), aside);
         });
         let (mut on, mut all) = (0, 0);
         for id in 0..2500 {
@@ -294,8 +302,8 @@
             request(policy, 2, 0, Some("k"), 900 * MS, 1.0);
         });
         // Without the rule either may be drawn: it is told by the requests of many keys, not by one.
-        let bound = instance.policy.key_builds.get("k").copied();
-        assert_eq!(bound, one_way.then_some(2), "{wanted}");
+        let bound = instance.policy.key_build("k");
+        assert_eq!(bound, one_way.then_some(BuildNumber::new(2)), "{wanted}");
     }
 }
 
@@ -316,14 +324,14 @@
             if remembers {
                 policy.restore_hardware_class(HardwareClassRecord {
                     name: "k",
-                    load: Some([900.0, 20.0]),
-                    slowdown: Some([0.1, 20.0]),
-                    baseline: Some([10.0, 10.0, 200.0]),
+                    load: Some([900.0, 20.0].into()),
+                    slowdown: Some([0.1, 20.0].into()),
+                    baseline: Some([10.0, 10.0, 200.0].into()),
                 });
-                policy.restore_endpoint("cold", Some([0.1, 4.0]), false);
+                policy.restore_endpoint("cold", Some([0.1, 4.0].into()), false);
                 policy.restore_route(RouteRecord {
                     route: None,
-                    baseline: [1000.0, 200.0, 200.0],
+                    baseline: [1000.0, 200.0, 200.0].into(),
                 });
             }
         });
@@ -362,7 +370,10 @@
         instance.step(0, |policy| {
             warm(policy, "n1", "z1", 2);
             rollout_status(policy, 2, 0, RolloutPhase::Canary, 0.5, 0);
-            policy.restore_rejected_build(2, Timestamp::from_micros(now - passed * SECOND));
+            policy.restore_rejected_build(
+                BuildNumber::new(2),
+                Timestamp::from_micros(now - passed * SECOND),
+            );
         });
         let got: Vec<_> = (0..4)
             .flat_map(|_| instance.step(250 * MS, |_| {}))
