--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -58,7 +58,7 @@
         // Requests rejected under load are slow responses, whatever time they took.
         for id in 200..200 + rejected {
             let sent = instance.step(10 * MS, |policy| {
-                request(policy, id, 0, None, 900 * MS, 1.0)
+                request(policy, id, 0, None, 900 * MS, 1.0);
             });
             assert_eq!(sent, [format!("attempt {id} m1")]);
             instance.step(0, |policy| {
--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -73,7 +73,7 @@
 
 fn recall(kept: &Kept, policy: &mut Balancer) {
     kept.machines.iter().for_each(|(name, pace, aside)| {
-        policy.restore_endpoint(name, Some((*pace).into()), *aside)
+        policy.restore_endpoint(name, Some((*pace).into()), *aside);
     });
     for (name, build, outcomes, failures) in &kept.evidence {
         policy.restore_outcomes(OutcomeRecord {
