--- a/crates/policy/src/admission/concurrency_limit.rs
+++ b/crates/policy/src/admission/concurrency_limit.rs
@@ -65,10 +65,10 @@
         responses.sum > CONGESTED_SHARE * responses.weight
     }
 
-    /// More than one in `number` responses took too large a share of their objective.
-    pub(super) fn more_than_one_slow_in(&self, number: f64) -> bool {
+    /// More than one in `responses_per_slow` responses took too large a share of their objective.
+    pub(super) fn more_than_one_slow_in(&self, responses_per_slow: f64) -> bool {
         let responses = self.slow_responses.last_read();
-        number * responses.sum > responses.weight
+        responses_per_slow * responses.sum > responses.weight
     }
 
     /// Adapts the limit to a response. It grows where it is used up while responses are quick, and
--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -89,7 +89,7 @@
         self.total.is_congested()
     }
 
-    /// So many responses are slow that a time-out is no evidence against its endpoint.
+    /// The fleet is so slow that a time-out is no evidence against its endpoint.
     pub(crate) fn fleet_is_overloaded(&self) -> bool {
         self.total.more_than_one_slow_in(OVERLOADED_FLEET_RESPONSES)
     }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -5,6 +5,9 @@
 
 mod events;
 mod persistence;
+mod status;
+
+pub use status::{EndpointStatus, TableSizes};
 
 use std::time::Duration;
 
@@ -14,7 +17,7 @@
 use crate::host::DecisionSink;
 use crate::latency::{LatencyModel, Work};
 use crate::requests::{Attempt, AttemptConditions, Request, RequestTable};
-use crate::retries::{AttemptTimeouts, KeyBuilds, may_attempt, may_write};
+use crate::retries::{AttemptTimeouts, KeyBuilds, may_attempt};
 use crate::rollout::{
     AttemptTarget, Evaluator, ExposureGuard, FleetComparison, FleetState, FleetView, Rollout,
     RolloutTracker, RolloutView, VoteScheduler, attempt_conditions,
@@ -26,8 +29,7 @@
 use crate::statistics::{Arm, WindowKey};
 use crate::step_context::StepContext;
 use crate::types::{
-    AttemptId, AttemptIndex, BuildNumber, EndpointIndex, EndpointState, RequestId, RouteIndex,
-    Timestamp,
+    AttemptId, AttemptIndex, BuildNumber, EndpointIndex, RequestId, RouteIndex, Timestamp,
 };
 use crate::warm_up::SlowStart;
 
@@ -37,32 +39,6 @@
     fn deliver(&mut self, policy: &mut Balancer);
 }
 
-/// What an instance knows of an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EndpointStatus {
-    /// Its state in the endpoint list.
-    pub state: EndpointState,
-    /// This instance's attempts in flight there.
-    pub in_flight: f64,
-    /// Requests in flight that it last reported.
-    pub reported_load: f64,
-}
-
-/// Number of entries in the tables of an instance; each is bounded.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TableSizes {
-    /// Indexes of endpoints, in use or free.
-    pub endpoint_indexes: usize,
-    /// Names of endpoints.
-    pub endpoint_names: usize,
-    /// Pairs of build and endpoint with outcomes.
-    pub outcome_counts: usize,
-    /// Idempotency keys of which the build that answered is known.
-    pub key_builds: usize,
-    /// Open requests.
-    pub open_requests: usize,
-}
-
 /// An attempt that has timed out while it is still in flight.
 #[derive(Clone, Copy, Debug)]
 struct TimedOutAttempt {
@@ -367,7 +343,7 @@
     }
 
     /// The lowest build to which a request may be sent. While a build is being taken out, its keys
-    /// have to go back to the previous one.
+    /// must return to the previous one.
     fn lowest_build(&self, request: &Request) -> BuildNumber {
         if self.rollout.is_ending() {
             return BuildNumber::default();
@@ -376,38 +352,6 @@
             .lowest_build(request, &self.requests, &self.context)
     }
 
-    /// Checks all guards once more for an attempt whose connection had to be established first and
-    /// that is only now written: they may have changed since the attempt was chosen. An attempt that
-    /// may not be written has certainly not been executed.
-    pub fn may_write_attempt(&mut self, id: AttemptId) -> bool {
-        let now = self.context.now;
-        let Some((request, attempt)) = self.requests.live_attempt(id, now) else {
-            return false;
-        };
-        let build = attempt.process.build;
-        let may_write = self.endpoints[attempt.endpoint].still_runs(attempt.process)
-            && build >= self.lowest_build(request)
-            && may_write(request, id.index, &self.endpoints, &self.context);
-        if !may_write {
-            return false;
-        }
-        // Rule 5 counts an attempt from when it is written.
-        let key = WindowKey {
-            build,
-            route: request.route,
-        };
-        self.exposure.remove_attempt(key, attempt.sent_at);
-        let view = RolloutView {
-            rollout: &self.rollout,
-            endpoints: &self.endpoints,
-        };
-        let may_expose = self.exposure.may_attempt(key, view, &self.context);
-        if may_expose {
-            self.exposure.record_attempt(key, now);
-        }
-        may_expose
-    }
-
     /// The conditions under which an attempt at an endpoint is sent now.
     fn attempt_conditions(&mut self, index: EndpointIndex) -> AttemptConditions {
         let now = self.context.now;
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -8,7 +8,9 @@
 use crate::health::{EndpointOutcome, HealthChange};
 use crate::latency::{BaselineLearning, LatencySample, Work};
 use crate::requests::{Attempt, Request};
-use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer};
+use crate::retries::{PossibleAnswer, may_write};
+use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer, RolloutView};
+use crate::statistics::WindowKey;
 use crate::types::{
     AttemptId, AttemptOutcome, AttemptResult, EndpointEntry, EndpointIndex, HardwareClassIndex,
     IncomingRequest, LoadReport, RequestId, RolloutPhase, RolloutStatus, Timestamp, VoteResult,
@@ -110,6 +112,38 @@
         self.requests.insert(id, request);
     }
 
+    /// Checks all guards once more for an attempt whose connection had to be established first and
+    /// that is only now written: they may have changed since the attempt was chosen. An attempt that
+    /// may not be written has certainly not been executed.
+    pub fn may_write_attempt(&mut self, id: AttemptId) -> bool {
+        let now = self.context.now;
+        let Some((request, attempt)) = self.requests.live_attempt(id, now) else {
+            return false;
+        };
+        let build = attempt.process.build;
+        let may_write = self.endpoints[attempt.endpoint].still_runs(attempt.process)
+            && build >= self.lowest_build(request)
+            && may_write(request, id.index, &self.endpoints, &self.context);
+        if !may_write {
+            return false;
+        }
+        // Rule 5 counts an attempt from when it is written.
+        let key = WindowKey {
+            build,
+            route: request.route,
+        };
+        self.exposure.remove_attempt(key, attempt.sent_at);
+        let view = RolloutView {
+            rollout: &self.rollout,
+            endpoints: &self.endpoints,
+        };
+        let may_expose = self.exposure.may_attempt(key, view, &self.context);
+        if may_expose {
+            self.exposure.record_attempt(key, now);
+        }
+        may_expose
+    }
+
     /// The response to an attempt has begun to stream to the client.
     pub fn on_response_started(&mut self, id: AttemptId) {
         self.requests.start_streaming(id);
@@ -120,8 +154,8 @@
         self.requests.finish(id);
     }
 
-    /// This instance ends at `deadline`: open requests must be answered before, whatever time their
-    /// clients allow.
+    /// This instance ends at `deadline`: open requests must be answered before, even if their
+    /// clients would wait longer.
     pub fn begin_shutdown(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = deadline;
         self.requests.limit_deadlines(deadline);
@@ -144,9 +178,11 @@
             self.requests.suspect_crash(id.request, index);
         }
         if let Some(request) = self.requests.get(id.request) {
-            let build = attempt.process.build;
-            self.key_builds
-                .record_outcome(request, build, outcome, &self.context);
+            let answer = PossibleAnswer {
+                build: attempt.process.build,
+                outcome,
+            };
+            self.key_builds.record(request, answer, &self.context);
         }
         if !attempt.evidence_recorded() {
             self.record_evidence(id, outcome, duration);
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -145,7 +145,7 @@
                 taken_at: baseline.taken_at,
                 outcomes: baseline.arm.outcomes,
                 failures: baseline.arm.failures,
-                spread: baseline.arm.spread,
+                dispersion: baseline.arm.dispersion,
                 endpoints: baseline.endpoints,
                 attempts_per_second: baseline.attempts_per_second,
             });
@@ -207,7 +207,7 @@
             arm: Arm {
                 outcomes: record.outcomes,
                 failures: record.failures,
-                spread: record.spread,
+                dispersion: record.dispersion,
             },
             taken_at: record.taken_at,
             endpoints: record.endpoints,
--- a/crates/policy/src/endpoints/table.rs
+++ b/crates/policy/src/endpoints/table.rs
@@ -32,8 +32,8 @@
     /// Takes one entry of the endpoint list.
     pub(crate) fn update(&mut self, entry: &EndpointEntry<'_>, own_zone: &str) -> ListedChange {
         let hardware_class = self.find_or_insert_class(entry.hardware_class);
-        let known = self.find(entry.name);
-        let index = known.unwrap_or_else(|| self.insert(entry.name));
+        let existing = self.find(entry.name);
+        let index = existing.unwrap_or_else(|| self.insert(entry.name));
         let endpoint = &mut self.slots[index.get()];
         let process = Process {
             build: entry.build,
@@ -51,7 +51,7 @@
                 index,
                 class: hardware_class,
             },
-            is_new: known.is_none(),
+            is_new: existing.is_none(),
             is_new_process,
         }
     }
@@ -79,8 +79,8 @@
 
     /// Index of the hardware class of this name, known before or not.
     pub(crate) fn find_or_insert_class(&mut self, name: &str) -> HardwareClassIndex {
-        let known = self.classes.iter().position(|class| class == name);
-        let position = known.unwrap_or_else(|| {
+        let existing = self.classes.iter().position(|class| class == name);
+        let position = existing.unwrap_or_else(|| {
             self.classes.push(name.into());
             self.classes.len() - 1
         });
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -61,7 +61,7 @@
     pub(crate) load: f64,
 }
 
-/// What is known of the endpoints of one hardware class.
+/// Latencies of the endpoints of one hardware class.
 #[derive(Clone, Copy, Debug)]
 struct ClassState {
     slowdown: DecayingMean,
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -3,7 +3,7 @@
 use crate::endpoints::Process;
 use crate::types::{EndpointIndex, Timestamp};
 
-/// What is known of an attempt while nothing of a response has come.
+/// State of an attempt while nothing of a response has arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AwaitingResponse {
     /// Its response may be lost: a hedged request may be sent beside it.
@@ -15,7 +15,7 @@
 /// The life of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
-    /// Sent, and nothing of a response has come.
+    /// Sent, and nothing of a response has arrived.
     AwaitingResponse(AwaitingResponse),
     /// Its response streams to the client, and no time limit applies any more.
     Streaming { evidence_recorded: bool },
@@ -114,7 +114,7 @@
         self.state = AttemptState::Finished { may_have_executed };
     }
 
-    /// What is known of it while nothing of a response has come.
+    /// Its state while nothing of a response has arrived.
     pub(super) fn awaiting_response_mut(&mut self) -> Option<&mut AwaitingResponse> {
         match &mut self.state {
             AttemptState::AwaitingResponse(waiting) => Some(waiting),
--- a/crates/policy/src/requests/table.rs
+++ b/crates/policy/src/requests/table.rs
@@ -19,7 +19,7 @@
     id: RequestId,
 }
 
-/// An attempt of which nothing of a response has come, with what matters of its request.
+/// An attempt of whose response nothing has arrived, with the data of its request.
 #[derive(Debug)]
 pub(crate) struct WaitingAttempt<'a> {
     /// Which attempt it is.
@@ -36,7 +36,7 @@
     pub(crate) request_finished: bool,
     /// It is the only attempt of its request.
     pub(crate) is_only_attempt: bool,
-    /// What is known of it.
+    /// Its state.
     pub(crate) state: &'a mut AwaitingResponse,
 }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// All attempts of which nothing of a response has come.
+    /// All attempts of whose responses nothing has arrived.
     pub(crate) fn awaiting_response(&mut self) -> impl Iterator<Item = WaitingAttempt<'_>> {
         self.by_id.iter_mut().flat_map(|(id, request)| {
             let id = *id;
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -6,5 +6,5 @@
 mod timeouts;
 
 pub(crate) use idempotency::{may_attempt, may_write};
-pub(crate) use key_builds::KeyBuilds;
+pub(crate) use key_builds::{KeyBuilds, PossibleAnswer};
 pub(crate) use timeouts::{AttemptTimeouts, is_late};
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -8,6 +8,15 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, BuildNumber};
 
+/// The end of an attempt, by which a build may have answered a key.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleAnswer {
+    /// The build to which the attempt was sent.
+    pub(crate) build: BuildNumber,
+    /// How the attempt ended.
+    pub(crate) outcome: AttemptOutcome,
+}
+
 /// The latest build that has answered each idempotency key.
 ///
 /// Bounded by [`KeyBuilds::forget_expired`]: a key is dropped once no earlier build is listed.
@@ -19,13 +28,13 @@
 impl KeyBuilds {
     /// Records which build may have answered the key of a request, even if the answer was lost on
     /// its way. A late answer of an earlier build changes nothing.
-    pub(crate) fn record_outcome(
+    pub(crate) fn record(
         &mut self,
         request: &Request,
-        build: BuildNumber,
-        outcome: AttemptOutcome,
+        answer: PossibleAnswer,
         context: &StepContext,
     ) {
+        let PossibleAnswer { build, outcome } = answer;
         let is_unanswered = matches!(
             outcome,
             AttemptOutcome::Failed | AttemptOutcome::InvalidRequest
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -17,7 +17,7 @@
 /// Responses that must be known for that: the quick ones come first.
 const MIN_HEDGE_RESPONSES: f64 = 100.0;
 
-/// Whether an attempt of this age counts as failed, whatever comes of it.
+/// Whether an attempt of this age counts as failed, even if a response arrives later.
 pub(crate) fn is_late(age: Duration, objective: Duration) -> bool {
     age > objective.saturating_mul(LATE_FACTOR)
 }
@@ -46,7 +46,7 @@
 }
 
 impl<'a> AttemptTimeouts<'a> {
-    /// Reads what is known of latencies.
+    /// Reads the present latencies.
     pub(crate) fn new(
         latency: &mut LatencyModel,
         is_congested: bool,
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -1,17 +1,19 @@
 //! Evaluation of the newest build: from evidence to a verdict, by the one-sided sequential test
 //! (SPRT-z).
 
+use std::time::Duration;
+
 use super::attempt_conditions::START_UP_TIME;
 use super::evidence::{AttemptEvidence, CrashTracker, judge_attempt};
 use super::fleet_baseline::FleetBaseline;
+use super::fleet_view::FleetView;
 use super::outcome_table::{Evidence, OutcomeTable};
 use super::parameters::{
     ALPHA, BETA, ENDPOINT_MARGIN_FACTOR, MAX_HOLD_TIME, SCORES, TESTS, VOTES_OFFSET,
 };
 use super::status::Rollout;
 use super::verdict::{TestResult, rollback_verdict};
-use crate::endpoints::{EndpointTable, Process};
-use crate::health::HealthChecker;
+use crate::endpoints::Process;
 use crate::settings::Settings;
 use crate::statistics::{ArmVariances, OutcomeCounts, OutcomeKey, PerTest, Scores, WaldBounds};
 use crate::step_context::StepContext;
@@ -19,15 +21,6 @@
     BuildNumber, EndpointIndex, EvidenceTest, RollbackVerdict, StageIndex, Timestamp,
 };
 
-/// Endpoints and their health, for reading.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct FleetView<'a> {
-    /// The endpoints.
-    pub(crate) endpoints: &'a EndpointTable,
-    /// Their health.
-    pub(crate) health: &'a HealthChecker,
-}
-
 /// An answer about which a client has complained.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FlaggedAnswer {
@@ -94,7 +87,7 @@
         self.crashes.add_endpoint(index);
     }
 
-    /// Records an attempt that has ended or timed out, as far as it is evidence.
+    /// Records an attempt that has ended or timed out, in the tests for which it is evidence.
     pub(crate) fn record_attempt(&mut self, evidence: &AttemptEvidence<'_>, context: &StepContext) {
         let is_failure = judge_attempt(evidence, &mut self.crashes, &self.fleet_baseline, context);
         if let Some(is_failure) = is_failure {
@@ -122,7 +115,7 @@
         }
     }
 
-    /// A newer build is offered: the fleet as it is now is what the build will be compared with.
+    /// A newer build is offered: it will be compared with the present state of the fleet.
     pub(crate) fn begin_rollout(
         &mut self,
         endpoints_in_service: usize,
@@ -207,12 +200,16 @@
             releases_hold |= is_failures && scores.minimum_effect <= bounds.lower;
         }
         if releases_hold {
-            let Rollout { build, stage, .. } = rollout;
-            self.released_hold = Some(ReleasedHold { build, stage });
+            self.release_hold(rollout);
         }
         verdict
     }
 
+    fn release_hold(&mut self, rollout: Rollout) {
+        let Rollout { build, stage, .. } = rollout;
+        self.released_hold = Some(ReleasedHold { build, stage });
+    }
+
     fn scores(&mut self, evidence: &Evidence, test: EvidenceTest) -> Option<Scores> {
         let previous = &mut self.previous_variances[test];
         TESTS[test].scores(&SCORES, evidence.tested(test), previous)
@@ -275,11 +272,7 @@
     }
 
     /// The build that was rejected last, by this instance or before its restart.
-    pub(crate) fn last_rejection(
-        &self,
-        memory: std::time::Duration,
-        now: Timestamp,
-    ) -> Option<Rejection> {
+    pub(crate) fn last_rejection(&self, memory: Duration, now: Timestamp) -> Option<Rejection> {
         let restored = self
             .restored_rejection
             .filter(|restored| now < restored.until);
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -14,7 +14,7 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, Timestamp, fractional_micros};
 
-/// A response is slow if it takes this multiple of what is usual on its hardware class, …
+/// A response is slow if it takes this multiple of the baseline latency of its hardware class, …
 const SLOW_FACTOR: f64 = 2.0;
 /// … and this multiple of what the load of its endpoint explains.
 const LOAD_FACTOR: f64 = 1.35;
@@ -32,11 +32,11 @@
     pub(crate) latency: Duration,
     /// The latency objective of its route.
     pub(crate) objective: Duration,
-    /// What is known of its endpoint.
+    /// State of its endpoint.
     pub(crate) endpoint: EndpointObservation,
 }
 
-/// What is known of the endpoint of an attempt when the attempt has ended.
+/// State of the endpoint of an attempt when the attempt has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointObservation {
     /// Requests in flight there.
@@ -49,7 +49,7 @@
     pub(crate) last_response_at: Timestamp,
 }
 
-/// Whether an attempt was slow, if it is known what is usual.
+/// Whether an attempt was slow, if the baseline latency is known.
 fn is_slow(evidence: &AttemptEvidence<'_>) -> Option<bool> {
     let endpoint = &evidence.endpoint;
     let load_when_sent = evidence.attempt.conditions.endpoint_load;
@@ -105,7 +105,7 @@
         crashes.record(attempt.endpoint, context.now);
     }
     let is_failure = outcome.is_error() || is_late || outcome == AttemptOutcome::TimedOut;
-    // The time until an error says nothing about speed.
+    // The time until an error is no measure of speed.
     let is_untimed = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
     let is_slow = is_slow.filter(|_| !is_untimed);
     let has_baseline = attempt.conditions.has_concurrent_baseline;
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-use super::evaluator::FleetView;
+use super::fleet_view::FleetView;
 use super::parameters::{
     EVIDENCE_TIME_CONSTANTS, FLEET_SHARE, MAX_RESTORED_BASELINE_OUTCOMES,
     MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
--- a/crates/policy/src/rollout/verdict.rs
+++ b/crates/policy/src/rollout/verdict.rs
@@ -1,6 +1,6 @@
 //! The verdict that a build must be rolled back, with the evidence on which it is based.
 
-use super::evaluator::FleetView;
+use super::fleet_view::FleetView;
 use super::outcome_table::Evidence;
 use super::parameters::{ALPHA, BETA};
 use super::status::Rollout;
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -81,7 +81,7 @@
             .is_some_and(|pending| now < pending.at + response_time)
     }
 
-    /// The platform knows this opinion: the standing vote says the same and need not be renewed
+    /// The platform knows this opinion: the standing vote is equal and need not be renewed
     /// yet, or there is no vote to withdraw.
     fn is_known(&self, ballot: Ballot, settings: &Settings, now: Timestamp) -> bool {
         let CastVote {
--- a/crates/policy/src/schedule.rs
+++ b/crates/policy/src/schedule.rs
@@ -72,7 +72,7 @@
     }
 
     /// Schedules the next poll after a failed one. The delay is random, since a poll that has
-    /// failed has mostly failed for all instances at once.
+    /// failed has mostly failed for all instances simultaneously.
     pub(crate) fn retry_poll(
         &mut self,
         max_interval: Duration,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -75,7 +75,7 @@
     pub health_checks: bool,
     /// Attempts may be cancelled.
     pub cancel_attempts: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Two attempts of one request may be in flight simultaneously.
     pub hedging: bool,
     /// Attempts for each request.
     pub max_attempts: usize,
@@ -87,7 +87,7 @@
     pub warm_up_start: f64,
     /// Time from an endpoint's start until it has its full capacity.
     pub warm_up_time: Duration,
-    /// A warming endpoint fails at this multiple of what it can bear, …
+    /// A warming endpoint fails at this multiple of its capacity, …
     pub overload_multiple: f64,
     /// … within this time.
     pub overload_window: Duration,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::statistics::{Spread, WeightedSum};
+use crate::statistics::{Dispersion, WeightedSum};
 use crate::types::{BuildNumber, EndpointState, RolloutPhase, StageIndex, Timestamp};
 
 /// A build that was rejected is held by a restarted instance for this long, where it is still under
@@ -152,7 +152,7 @@
     /// Slow ones among them.
     pub failures: f64,
     /// How both are spread over the endpoints.
-    pub spread: Spread,
+    pub dispersion: Dispersion,
     /// Endpoints in service.
     pub endpoints: usize,
     /// Attempts a second that this instance sent.
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -14,7 +14,7 @@
 
 /// How unevenly outcomes and failures are spread over endpoints, as sums over these.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Spread {
+pub struct Dispersion {
     /// Squares of the failures.
     pub failures_squared: f64,
     /// Failures times outcomes.
@@ -23,10 +23,10 @@
     pub outcomes_squared: f64,
 }
 
-impl From<[f64; 3]> for Spread {
-    fn from(sums: [f64; 3]) -> Spread {
+impl From<[f64; 3]> for Dispersion {
+    fn from(sums: [f64; 3]) -> Dispersion {
         let [failures_squared, failures_times_outcomes, outcomes_squared] = sums;
-        Spread {
+        Dispersion {
             failures_squared,
             failures_times_outcomes,
             outcomes_squared,
@@ -34,12 +34,12 @@
     }
 }
 
-impl From<Spread> for [f64; 3] {
-    fn from(spread: Spread) -> [f64; 3] {
+impl From<Dispersion> for [f64; 3] {
+    fn from(dispersion: Dispersion) -> [f64; 3] {
         [
-            spread.failures_squared,
-            spread.failures_times_outcomes,
-            spread.outcomes_squared,
+            dispersion.failures_squared,
+            dispersion.failures_times_outcomes,
+            dispersion.outcomes_squared,
         ]
     }
 }
@@ -52,7 +52,7 @@
     /// Failures among them.
     pub failures: f64,
     /// How they are spread over the endpoints.
-    pub spread: Spread,
+    pub dispersion: Dispersion,
 }
 
 impl Arm {
@@ -65,18 +65,18 @@
         }
     }
 
-    /// 1 where one endpoint gave all outcomes, and less the more evenly they are spread.
+    /// 1 where one endpoint gave all outcomes, and less the more evenly they are dispersion.
     pub fn concentration(&self) -> f64 {
-        self.spread.outcomes_squared / self.outcomes.powi(2)
+        self.dispersion.outcomes_squared / self.outcomes.powi(2)
     }
 
     /// Adds one endpoint.
     pub fn add(&mut self, outcomes: f64, failures: f64) {
         self.outcomes += outcomes;
         self.failures += failures;
-        self.spread.failures_squared += failures * failures;
-        self.spread.failures_times_outcomes += failures * outcomes;
-        self.spread.outcomes_squared += outcomes * outcomes;
+        self.dispersion.failures_squared += failures * failures;
+        self.dispersion.failures_times_outcomes += failures * outcomes;
+        self.dispersion.outcomes_squared += outcomes * outcomes;
     }
 
     /// Adds another arm's outcomes, but at most `max_outcomes` of them: if there are more, the same
@@ -86,9 +86,10 @@
         let squared = fraction * fraction;
         self.outcomes += fraction * other.outcomes;
         self.failures += fraction * other.failures;
-        self.spread.failures_squared += squared * other.spread.failures_squared;
-        self.spread.failures_times_outcomes += squared * other.spread.failures_times_outcomes;
-        self.spread.outcomes_squared += squared * other.spread.outcomes_squared;
+        self.dispersion.failures_squared += squared * other.dispersion.failures_squared;
+        self.dispersion.failures_times_outcomes +=
+            squared * other.dispersion.failures_times_outcomes;
+        self.dispersion.outcomes_squared += squared * other.dispersion.outcomes_squared;
     }
 
     /// The endpoints with the smallest shares of failures, up to this fraction of all outcomes.
--- a/crates/policy/src/statistics/sliding_window.rs
+++ b/crates/policy/src/statistics/sliding_window.rs
@@ -4,7 +4,7 @@
 
 use crate::types::{BuildNumber, RouteIndex, Timestamp};
 
-/// By what events are told apart.
+/// By what events are distinguished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowKey {
     /// The build, where the events have one.
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -64,9 +64,10 @@
     /// least 1. An overload hits many outcomes of one endpoint together.
     fn clustering(&self, arm: &Arm) -> f64 {
         let share = arm.share();
-        let spread = arm.spread;
-        let squares = spread.failures_squared - 2.0 * share * spread.failures_times_outcomes
-            + share * share * spread.outcomes_squared;
+        let dispersion = arm.dispersion;
+        let squares = dispersion.failures_squared
+            - 2.0 * share * dispersion.failures_times_outcomes
+            + share * share * dispersion.outcomes_squared;
         (squares / arm.outcomes.max(1.0) / self.bernoulli(arm)).max(1.0)
     }
 
@@ -142,8 +143,8 @@
 
     /// By how much a score must exceed the bound where many instances vote.
     ///
-    /// α bounds the rate of false rollbacks, and a rollback needs `votes` votes at once. The margin
-    /// gives each instance such a share of α that this many simultaneous false votes stay as rare
+    /// α bounds the rate of false rollbacks, and a rollback needs `votes` simultaneous votes. The margin
+    /// gives each instance such a share of α that this many false votes together stay as rare
     /// as α asks for. For several votes, the rate at which one instance may err is approximated by
     /// the square of the root of their number less `votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, votes_offset: f64) -> f64 {
--- a/crates/policy/src/step_context.rs
+++ b/crates/policy/src/step_context.rs
@@ -14,8 +14,8 @@
     pub(crate) now: Timestamp,
     /// When this instance started.
     pub(crate) started_at: Timestamp,
-    /// The step comes late because the process was not scheduled: latencies measured across the
-    /// stall say nothing about endpoints.
+    /// The step is late because the process was stalled (not scheduled): latencies measured across
+    /// the stall are ignored.
     pub(crate) stalled: bool,
     /// The deployment's settings.
     pub(crate) settings: Settings,
--- a/crates/policy/src/types/endpoint.rs
+++ b/crates/policy/src/types/endpoint.rs
@@ -17,7 +17,7 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry<'a> {
-    /// Identifies the endpoint; a restarted process may come back under the same name.
+    /// Identifies the endpoint; a restarted process may return under the same name.
     pub name: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -49,7 +49,7 @@
         matches!(self, Succeeded | Failed | Malformed | InvalidRequest)
     }
 
-    /// Something broke, whatever time it took.
+    /// Something broke; the time that it took does not matter.
     pub fn is_error(self) -> bool {
         use AttemptOutcome::{ConnectionReset, Failed, Malformed};
         matches!(self, Failed | ConnectionReset | Malformed)
--- a/crates/policy/src/warm_up.rs
+++ b/crates/policy/src/warm_up.rs
@@ -1,5 +1,5 @@
 //! Slow start: how much an instance sends to an endpoint that has just started (rule 4: a warming
-//! endpoint gets no more than the configured multiple of what it can bear, from all instances
+//! endpoint gets no more than the configured multiple of its capacity, from all instances
 //! together).
 
 mod capacity;
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -8,7 +8,7 @@
 
 /// Over what time the rates are averaged.
 const TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Ready time of endpoints from which a rate can be told.
+/// Ready time of endpoints that is needed to measure a rate.
 const MIN_READY_SECONDS: f64 = 1.0;
 
 /// Responses of warm endpoints, and the seconds for which these were in service, by hardware class.
@@ -62,9 +62,9 @@
                 weight: all.weight + class.weight,
             });
         let candidates = [sums[class.get()], all];
-        let known = candidates
+        let measured = candidates
             .into_iter()
             .find(|sums| sums.weight >= MIN_READY_SECONDS);
-        known.map(|sums| sums.sum / sums.weight)
+        measured.map(|sums| sums.sum / sums.weight)
     }
 }
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -1,4 +1,4 @@
-//! This instance's share of what a warming endpoint can bear.
+//! This instance's share of the capacity of a warming endpoint.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::step_context::StepContext;
 use crate::types::{EndpointIndex, HardwareClassIndex, Timestamp, fractional_micros};
 
-/// The share that is used of what a warming endpoint can bear from all instances together.
+/// The share that is used of what a warming endpoint can take from all instances together.
 const BUDGET_SHARE: f64 = 0.65;
 /// Over what time the rate of arriving requests is averaged, and for how long it counts as measured
 /// at least.
@@ -33,14 +33,14 @@
 
 /// Requests that this instance may send to one warming endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct Credit {
+struct SlowStartCredit {
     /// Requests that may be sent now; whole ones count.
     requests: f64,
     /// When the credit was last brought up to date.
     updated_at: Timestamp,
 }
 
-impl Credit {
+impl SlowStartCredit {
     /// Adds what has been earned since the last time, up to a maximum; the rate is in requests a
     /// microsecond.
     fn earn(&mut self, rate: f64, maximum: f64, now: Timestamp) {
@@ -53,7 +53,7 @@
 /// Slow start of all endpoints.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
-    credits: IndexedTable<EndpointIndex, Credit>,
+    credits: IndexedTable<EndpointIndex, SlowStartCredit>,
     capacity: CapacityMeter,
     arrivals: DecayingRate,
 }
@@ -75,7 +75,7 @@
 
     /// A new endpoint has taken this index.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
-        self.credits.put(index, Credit::default());
+        self.credits.put(index, SlowStartCredit::default());
     }
 
     /// Makes room for a hardware class unless it is known.
@@ -94,7 +94,7 @@
     ) {
         let instance_count = context.settings.instance_count;
         let turn = (name_rank as u32 + context.settings.instance_index) % instance_count;
-        self.credits[index] = Credit {
+        self.credits[index] = SlowStartCredit {
             requests: f64::from(turn) / f64::from(instance_count),
             updated_at: context.now,
         };
@@ -122,7 +122,7 @@
 
     /// Whether this instance may send a request to a warming endpoint now.
     ///
-    /// Its share of what the endpoint can bear is earned over time and may be used once it amounts
+    /// Its share of what the endpoint can take is earned over time and may be used once it amounts
     /// to a request. The rate at which warm endpoints of the class serve this instance stands in
     /// for the capacity, so that the shares of all instances add up to it however unevenly traffic
     /// is spread over them.
@@ -138,9 +138,9 @@
         let rate = BUDGET_SHARE * multiple * fraction * capacity / MICROS_PER_SECOND;
         let window = fractional_micros(context.settings.overload_window);
         let maximum = 1.0 + rate * window * MAX_CREDIT_WINDOW_FRACTION;
-        let credit = &mut self.credits[endpoint.index];
-        credit.earn(rate, maximum, context.now);
-        credit.requests >= 1.0
+        let slow_start_credit = &mut self.credits[endpoint.index];
+        slow_start_credit.earn(rate, maximum, context.now);
+        slow_start_credit.requests >= 1.0
     }
 
     /// Requests a second that a warm endpoint serves for this instance, or an even part of the
