--- /dev/null
+++ b/crates/policy/tests/policy/fleet_baseline.rs
@@ -0,0 +1,94 @@
+//! How fast the fleet was before a rollout, and when that is learned.
+
+use std::time::Duration;
+
+use tidescale_policy::types::RolloutPhase;
+
+use crate::harness::{
+    AttemptResultBuilder, BASELINE, CANDIDATE, Decisions, Exchange, IDEMPOTENT, Instance,
+    RolloutStatusBuilder, list_endpoints, millis, settings,
+};
+
+#[test]
+fn released_build_is_not_found_slow_without_a_fleet_baseline() {
+    let mut instance = Instance::new(settings());
+    let mut decisions = instance.step_now(|policy| {
+        list_endpoints(policy, &["m1", "m2", "m3"], BASELINE);
+        RolloutStatusBuilder::released(BASELINE)
+            .stage(2)
+            .announce(policy);
+    });
+
+    for id in 0..120 {
+        let latency = if id < 10 { millis(10) } else { millis(60) };
+        let response = AttemptResultBuilder::succeeded(latency);
+        decisions.append(Exchange::new(id).run(&mut instance, |_| response));
+    }
+
+    assert_eq!(decisions.votes().count(), 0);
+}
+
+/// An instance with four endpoints that serves twenty requests a second.
+struct SteadyTraffic {
+    instance: Instance,
+    last_id: u64,
+}
+
+impl SteadyTraffic {
+    fn new() -> SteadyTraffic {
+        let mut instance = Instance::new(settings());
+        instance.step_now(|policy| list_endpoints(policy, &["m1", "m2", "m3", "m4"], BASELINE));
+        SteadyTraffic {
+            instance,
+            last_id: 0,
+        }
+    }
+
+    /// Serves for this many seconds with responses of this latency. Returns the baseline latency in
+    /// milliseconds that the instance has learned by then.
+    fn serve(&mut self, latency: Duration, seconds: u64) -> f64 {
+        for _ in 0..seconds * 20 {
+            self.last_id += 1;
+            let exchange = Exchange::new(self.last_id).pause(millis(50) - latency);
+            let response = AttemptResultBuilder::succeeded(latency);
+            exchange.run(&mut self.instance, |_| response);
+        }
+        let sums = self.instance.route_latency(IDEMPOTENT);
+        sums.latency / sums.cost / 1000.0
+    }
+
+    fn announce(&mut self, build: u32, phase: RolloutPhase) -> Decisions {
+        let status = RolloutStatusBuilder::new(build, phase).stage(1);
+        self.instance.step_now(|policy| status.announce(policy))
+    }
+}
+
+#[test]
+fn latency_during_a_rollback_does_not_become_the_baseline() {
+    let mut traffic = SteadyTraffic::new();
+    traffic.announce(BASELINE, RolloutPhase::Released);
+    let before = traffic.serve(millis(10), 8);
+
+    traffic.announce(CANDIDATE, RolloutPhase::Canary);
+    traffic.serve(millis(40), 2);
+    traffic.announce(CANDIDATE, RolloutPhase::RollingBack);
+    traffic.serve(millis(40), 3);
+    traffic.announce(CANDIDATE, RolloutPhase::Withdrawn);
+    let after = traffic.serve(millis(40), 3);
+    assert!((after - before).abs() < 0.01, "{before} {after}");
+
+    // Some time later it is learned again, without what was seen during the rollout.
+    traffic.serve(millis(10), 5);
+    traffic.announce(CANDIDATE + 1, RolloutPhase::Canary);
+    let baseline = traffic.instance.policy().fleet_baseline();
+    assert!(
+        baseline.outcomes > 10.0 && baseline.share() < 0.05,
+        "{baseline:?}"
+    );
+
+    // A rollout that follows with no steady time in between is held against the same baseline.
+    traffic.announce(CANDIDATE + 1, RolloutPhase::RollingBack);
+    traffic.serve(millis(40), 3);
+    traffic.announce(CANDIDATE + 2, RolloutPhase::Canary);
+    assert_eq!(traffic.instance.policy().fleet_baseline(), baseline);
+}
--- /dev/null
+++ b/crates/policy/tests/policy/harness/exchange.rs
@@ -0,0 +1,57 @@
+//! A request and the response to its first attempt.
+
+use std::time::Duration;
+
+use super::{AttemptResultBuilder, Decisions, IDEMPOTENT, Instance, RequestBuilder, millis};
+
+/// One request in one step, and the end of its first attempt in the next.
+#[derive(Clone, Copy, Debug)]
+pub struct Exchange<'a> {
+    id: u64,
+    request: RequestBuilder<'a>,
+    pause: Duration,
+    response_after: Option<Duration>,
+}
+
+impl<'a> Exchange<'a> {
+    /// A request of the idempotent route, 10 ms after the last step.
+    pub fn new(id: u64) -> Exchange<'a> {
+        Exchange {
+            id,
+            request: RequestBuilder::new(IDEMPOTENT),
+            pause: millis(10),
+            response_after: None,
+        }
+    }
+
+    pub fn request(mut self, request: RequestBuilder<'a>) -> Self {
+        self.request = request;
+        self
+    }
+
+    /// Time from the last step to the request.
+    pub fn pause(mut self, pause: Duration) -> Self {
+        self.pause = pause;
+        self
+    }
+
+    /// Time from the request to the next step, if that is not the duration of the attempt.
+    pub fn response_after(mut self, response_after: Duration) -> Self {
+        self.response_after = Some(response_after);
+        self
+    }
+
+    /// Sends the request, and reports how its first attempt ended. `respond` is given what the
+    /// policy decided in the step of the request. Returns the decisions of both steps.
+    pub fn run(
+        self,
+        instance: &mut Instance,
+        respond: impl FnOnce(&Decisions) -> AttemptResultBuilder,
+    ) -> Decisions {
+        let mut decisions = instance.step(self.pause, |policy| self.request.send(policy, self.id));
+        let result = respond(&decisions);
+        let response_after = self.response_after.unwrap_or(result.duration());
+        decisions.append(instance.step(response_after, |policy| result.report(policy, self.id)));
+        decisions
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -0,0 +1,352 @@
+//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of attempts,
+//! health checks and votes. The order of the draws is part of each history.
+
+use std::time::Duration;
+
+use tidescale_policy::types::{
+    AttemptOutcome, BuildNumber, EndpointState, RequestId, RolloutPhase, RolloutStatus, RouteIndex,
+    StageIndex, Timestamp, VoteResult,
+};
+use tidescale_policy::{Balancer, EventSource};
+
+use super::model::{
+    Arrival, ENDPOINTS, EffectiveCap, IssuedRequest, Observer, PendingCheck, SimulatedEndpoint,
+    endpoint_name,
+};
+use crate::harness::{AttemptResultBuilder, RequestBuilder, START, millis};
+
+/// At first an instance learns the capacity of the endpoints, and nothing else happens.
+const QUIET_TIME: Duration = Duration::from_secs(1);
+/// For this long most requests are of one route, or limits by route and over all routes would
+/// hardly differ.
+const ROUTE_PERIOD: Duration = millis(1500);
+/// Age of a process when its endpoint is listed again.
+const AGE_OF_NEW_PROCESS: Duration = millis(300);
+/// At least this number of endpoints stays ready.
+const MIN_READY: usize = 2;
+/// Id of the first request.
+const FIRST_REQUEST: u64 = 1000;
+
+impl EventSource for Observer {
+    fn deliver(&mut self, policy: &mut Balancer) {
+        if self.now == START {
+            self.announce_initial_state(policy);
+        }
+        self.apply_lower_cap();
+        let is_quiet = self.now < START + QUIET_TIME;
+        if !is_quiet && self.draw(0.02) {
+            self.advance_rollout(policy);
+        }
+        if !is_quiet && self.draw(0.1) {
+            self.change_endpoint(policy);
+        }
+        if self.poll_pending && self.draw(0.02) {
+            self.poll_pending = false;
+            policy.on_endpoint_list_failed();
+        }
+        self.end_attempts(policy);
+        self.end_health_checks(policy);
+        self.answer_vote(policy);
+        if self.draw(0.01) {
+            self.flag_answer(policy);
+        }
+        if self.draw(0.01) {
+            self.disconnect_latest_client(policy);
+        }
+        self.send_requests(policy);
+    }
+}
+
+/// Rollouts.
+impl Observer {
+    fn announce_initial_state(&mut self, policy: &mut Balancer) {
+        for index in 0..self.endpoints.len() {
+            self.list_endpoint(policy, index);
+        }
+        policy.on_rollout_status(self.rollout);
+    }
+
+    /// A lower cap applies after the grace period.
+    fn apply_lower_cap(&mut self) {
+        if self.lower_cap_applies_at.is_some_and(|at| self.now >= at) {
+            self.effective_cap = EffectiveCap {
+                traffic_cap: self.rollout.traffic_cap,
+                counted_from: self.now,
+            };
+            self.lower_cap_applies_at = None;
+        }
+    }
+
+    /// A new stage or build, or a build that is rolled back or withdrawn. Caps rise and fall.
+    fn advance_rollout(&mut self, policy: &mut Balancer) {
+        let previous_build = self.rollout.build;
+        self.rollout = self.next_rollout_status();
+        let traffic_cap = self.rollout.traffic_cap;
+        let is_lower = traffic_cap < self.effective_cap.traffic_cap;
+        if is_lower && previous_build == self.rollout.build {
+            let applies_at = self.now + self.settings.grace_period;
+            self.lower_cap_applies_at.get_or_insert(applies_at);
+        } else {
+            self.effective_cap = EffectiveCap {
+                traffic_cap,
+                counted_from: Timestamp::ZERO,
+            };
+            self.lower_cap_applies_at = None;
+        }
+        policy.on_rollout_status(self.rollout);
+    }
+
+    fn next_rollout_status(&mut self) -> RolloutStatus {
+        let current = RolloutStatus {
+            age: Duration::ZERO,
+            ..self.rollout
+        };
+        match current.phase {
+            RolloutPhase::Released | RolloutPhase::Withdrawn => {
+                let next = BuildNumber::new(current.build.get() + 1);
+                self.canary_status(next, 0)
+            }
+            RolloutPhase::RollingBack => RolloutStatus {
+                phase: RolloutPhase::Withdrawn,
+                traffic_cap: 0.0,
+                ..current
+            },
+            RolloutPhase::Canary => self.next_canary_status(current),
+        }
+    }
+
+    fn next_canary_status(&mut self, current: RolloutStatus) -> RolloutStatus {
+        let last_stage = self.settings.stage_caps.len() as u32 - 1;
+        let stage = current.stage.get();
+        if self.draw(0.2) {
+            RolloutStatus {
+                phase: RolloutPhase::RollingBack,
+                traffic_cap: 0.0,
+                ..current
+            }
+        } else if self.draw(0.2) {
+            self.canary_status(current.build, 0)
+        } else if stage < last_stage {
+            self.canary_status(current.build, stage + 1)
+        } else {
+            RolloutStatus {
+                phase: RolloutPhase::Released,
+                traffic_cap: 1.0,
+                ..current
+            }
+        }
+    }
+
+    fn canary_status(&self, build: BuildNumber, stage: u32) -> RolloutStatus {
+        RolloutStatus {
+            build,
+            stage: StageIndex::new(stage),
+            phase: RolloutPhase::Canary,
+            traffic_cap: self.settings.stage_caps[stage as usize],
+            age: Duration::ZERO,
+        }
+    }
+
+    fn answer_vote(&mut self, policy: &mut Balancer) {
+        if self.vote_pending && self.draw(0.3) {
+            self.vote_pending = false;
+            let result = if self.draw(0.7) {
+                VoteResult::Accepted
+            } else {
+                VoteResult::Unknown
+            };
+            policy.on_vote_result(result);
+        }
+    }
+}
+
+/// Endpoints.
+impl Observer {
+    /// An endpoint drains, is removed, or is listed again with another process and perhaps another
+    /// build.
+    fn change_endpoint(&mut self, policy: &mut Balancer) {
+        let index = (self.random.rand_u64() % ENDPOINTS) as usize;
+        let change = self.random.rand_u64() % 4;
+        let build = self.build_of_new_process(change);
+        let moves_zone = self.draw(0.2);
+        let is_ready = |endpoint: &&SimulatedEndpoint| endpoint.state == EndpointState::Ready;
+        let may_remove = self.endpoints.iter().filter(is_ready).count() > MIN_READY;
+        let now = self.now;
+        let endpoint = &mut self.endpoints[index];
+        match (change, endpoint.state) {
+            (0, EndpointState::Ready) if may_remove => {
+                endpoint.state = EndpointState::Draining;
+                endpoint.drained_at = now;
+            }
+            (1, EndpointState::Draining) if may_remove => {
+                endpoint.state = EndpointState::Removed;
+            }
+            (_, EndpointState::Ready) => {}
+            (_, EndpointState::Draining | EndpointState::Removed) => {
+                endpoint.state = EndpointState::Ready;
+                endpoint.started_at = Some(now - AGE_OF_NEW_PROCESS);
+                endpoint.build = build;
+                if moves_zone {
+                    endpoint.zone = "z1";
+                }
+            }
+        }
+        self.list_endpoint(policy, index);
+    }
+
+    /// The newest build or the one before. At times the newest one is not announced yet.
+    fn build_of_new_process(&mut self, change: u64) -> BuildNumber {
+        let is_unannounced = self.random.rand_u64().is_multiple_of(8);
+        let newest = self.rollout.build.get() + u32::from(is_unannounced);
+        let build = if change == 2 {
+            newest
+        } else {
+            newest.max(2) - 1
+        };
+        BuildNumber::new(build)
+    }
+
+    fn end_health_checks(&mut self, policy: &mut Balancer) {
+        let now = self.now;
+        let ended = self
+            .pending_checks
+            .extract_if(.., |check| check.ends_at <= now);
+        for PendingCheck { endpoint, .. } in ended.collect::<Vec<_>>() {
+            let outcome = if self.draw(0.7) {
+                AttemptOutcome::Succeeded
+            } else {
+                AttemptOutcome::Refused
+            };
+            policy.on_health_check(&endpoint_name(endpoint), outcome, None);
+        }
+    }
+
+    /// A client complains about an answer of an endpoint.
+    fn flag_answer(&mut self, policy: &mut Balancer) {
+        let index = (self.random.rand_u64() % ENDPOINTS) as usize;
+        policy.on_answer_flagged(&endpoint_name(index), millis(100));
+    }
+}
+
+/// Requests and their attempts.
+impl Observer {
+    fn send_requests(&mut self, policy: &mut Balancer) {
+        while self.draw(0.35) {
+            let id = FIRST_REQUEST + self.arrivals.len() as u64;
+            let route = self.draw_route();
+            let idempotency_key = self
+                .draw(0.5)
+                .then(|| format!("k{}", self.random.rand_u64() % 20));
+            let time_remaining = Duration::from_micros(50_000 + self.random.rand_u64() % 900_000);
+            let mut request = RequestBuilder::new(route)
+                .time_remaining(time_remaining)
+                .without_cost_hint();
+            if let Some(key) = &idempotency_key {
+                request = request.idempotency_key(key);
+            }
+            request.send(policy, id);
+            self.arrivals.push(Arrival {
+                at: self.now,
+                route,
+            });
+            let issued = IssuedRequest {
+                route,
+                idempotency_key,
+                deadline: self.now + time_remaining,
+                finished: false,
+                attempts: Vec::new(),
+            };
+            self.requests.insert(RequestId::new(id), issued);
+        }
+    }
+
+    fn draw_route(&mut self) -> RouteIndex {
+        let period = self.now.as_micros() / ROUTE_PERIOD.as_micros() as u64;
+        let drawn = if self.draw(0.8) {
+            period
+        } else {
+            self.random.rand_u64()
+        };
+        RouteIndex::new((drawn % self.settings.routes.len() as u64) as usize)
+    }
+
+    fn disconnect_latest_client(&mut self, policy: &mut Balancer) {
+        if let Some((id, request)) = self.requests.iter_mut().next_back() {
+            request.finished = true;
+            policy.on_client_disconnected(*id);
+        }
+    }
+
+    /// Ends the attempts whose end is known by now, and reports them to the policy.
+    fn end_attempts(&mut self, policy: &mut Balancer) {
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
+        for id in ids {
+            for index in 0..self.requests[&id].attempts.len() {
+                if let Some(outcome) = self.draw_outcome(id, index) {
+                    self.end_attempt(id, index, outcome);
+                    self.report_attempt(policy, id, index);
+                }
+            }
+        }
+        self.requests.retain(|_, request| {
+            !request.finished
+                || request
+                    .attempts
+                    .iter()
+                    .any(|attempt| attempt.is_in_flight())
+        });
+    }
+
+    /// How an attempt ends, if its end is known by now.
+    fn draw_outcome(&mut self, id: RequestId, index: usize) -> Option<AttemptOutcome> {
+        let request = &self.requests[&id];
+        let attempt = &request.attempts[index];
+        let endpoint = &self.endpoints[attempt.endpoint];
+        let is_restarted = endpoint.started_at != attempt.process_started_at;
+        let is_late = self.now >= request.deadline && !request.finished;
+        let is_known = self.now >= attempt.responds_at || is_restarted || is_late;
+        if !attempt.is_in_flight() || !is_known {
+            return None;
+        }
+        // Every second build fails often, or there would be nothing to vote on.
+        let is_bad_build = endpoint.build.get().is_multiple_of(2);
+        let percentile = self.random.rand_u64() % 100;
+        Some(match percentile {
+            _ if is_restarted => AttemptOutcome::ConnectionReset,
+            _ if is_late => AttemptOutcome::TimedOut,
+            0..3 => AttemptOutcome::Failed,
+            70..90 if is_bad_build => AttemptOutcome::Failed,
+            3..5 => AttemptOutcome::ConnectionReset,
+            5..7 => AttemptOutcome::Malformed,
+            7..10 => AttemptOutcome::Overloaded,
+            10..12 => AttemptOutcome::Refused,
+            12 => AttemptOutcome::NotSent,
+            _ => AttemptOutcome::Succeeded,
+        })
+    }
+
+    fn end_attempt(&mut self, id: RequestId, index: usize, outcome: AttemptOutcome) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let attempt = &mut request.attempts[index];
+        attempt.outcome = Some(outcome);
+        if outcome == AttemptOutcome::Succeeded {
+            request.finished = true;
+            if let Some(key) = &request.idempotency_key {
+                let build = self.endpoints[attempt.endpoint].build;
+                self.key_builds.insert(key.clone(), build);
+            }
+        }
+    }
+
+    fn report_attempt(&mut self, policy: &mut Balancer, id: RequestId, index: usize) {
+        let request = &self.requests[&id];
+        let attempt = &request.attempts[index];
+        if let Some(outcome) = attempt.outcome {
+            AttemptResultBuilder::new(outcome, self.now - attempt.sent_at)
+                .finishes_request(request.finished)
+                .report_attempt(policy, id.get(), index);
+        }
+    }
+}
