--- a/crates/simulator-adapter/src/decision_writer.rs
+++ b/crates/simulator-adapter/src/decision_writer.rs
@@ -5,7 +5,7 @@
 
 use tidescale_policy::host::DecisionSink;
 use tidescale_policy::types::{
-    Ballot, EvidenceTest, RollbackVerdict, Timestamp, Vote, whole_micros,
+    AttemptId, Ballot, EvidenceTest, RequestId, RollbackVerdict, Timestamp, Vote, whole_micros,
 };
 
 /// Appends one line for each decision to the reply.
@@ -32,21 +32,23 @@
 }
 
 impl DecisionSink for DecisionWriter<'_> {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
+        let request = attempt.request;
         let deadline = milliseconds(deadline - Timestamp::ZERO);
         self.write_line(format_args!("SEND {request} {endpoint} {deadline}"));
     }
 
-    fn cancel_attempt(&mut self, request: u64, attempt_index: usize) {
-        self.write_line(format_args!("STOP_ATTEMPT {request} {attempt_index}"));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let AttemptId { request, index } = attempt;
+        self.write_line(format_args!("STOP_ATTEMPT {request} {index}"));
     }
 
-    fn reject_request(&mut self, request: u64, retry_after: Duration) {
+    fn reject_request(&mut self, request: RequestId, retry_after: Duration) {
         let retry_after = milliseconds(retry_after);
         self.write_line(format_args!("TURN_AWAY {request} {retry_after}"));
     }
 
-    fn fail_request(&mut self, request: u64) {
+    fn fail_request(&mut self, request: RequestId) {
         self.write_line(format_args!("ERROR {request}"));
     }
 
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use tidescale_policy::types::{EndpointEntry, EndpointState, Timestamp};
+use tidescale_policy::types::{BuildNumber, EndpointEntry, EndpointState, Timestamp};
 use tidescale_settings::{parse_duration, parse_number};
 
 use crate::error::AdapterError;
@@ -70,7 +70,7 @@
         zone,
         cell,
         hardware_class,
-        build: parse_number(build)?,
+        build: BuildNumber::new(parse_number(build)?),
         state,
         started_at,
     })
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use tidescale_policy::types::{
-    AttemptOutcome, AttemptResult, IncomingRequest, LoadReport, RolloutPhase, RolloutStatus,
-    VoteResult,
+    AttemptId, AttemptIndex, AttemptOutcome, AttemptResult, BuildNumber, IncomingRequest,
+    LoadReport, RequestId, RolloutPhase, RolloutStatus, RouteIndex, StageIndex, VoteResult,
 };
 use tidescale_settings::{parse_duration, parse_flag, parse_number};
 
@@ -17,22 +17,18 @@
 pub enum Event<'a> {
     /// A client sent a request (`ASK`).
     Request {
-        request_id: u64,
+        request_id: RequestId,
         request: IncomingRequest<'a>,
     },
     /// An attempt ended (`OUTCOME`).
     AttemptFinished {
-        request_id: u64,
-        attempt_index: usize,
+        attempt: AttemptId,
         result: AttemptResult,
     },
     /// A client no longer waits for its request (`WITHDRAWN`).
-    ClientDisconnected { request_id: u64 },
+    ClientDisconnected { request_id: RequestId },
     /// The first bytes of an answer arrived (`OPENED`).
-    ResponseStarted {
-        request_id: u64,
-        attempt_index: usize,
-    },
+    ResponseStarted { attempt: AttemptId },
     /// A health check ended (`ECHO`).
     HealthCheckFinished {
         endpoint: &'a str,
@@ -63,7 +59,7 @@
             "OUTCOME" => parse_attempt_result(line),
             "WITHDRAWN" => {
                 let [request_id] = fields(line)?;
-                let request_id = parse_number(request_id)?;
+                let request_id = parse_request_id(request_id)?;
                 Ok(Event::ClientDisconnected { request_id })
             }
             "OPENED" => parse_response_start(line),
@@ -91,10 +87,26 @@
     }
 }
 
-fn route_index(name: &str, route_names: &[String]) -> Result<usize, AdapterError> {
+fn parse_request_id(text: &str) -> Result<RequestId, AdapterError> {
+    Ok(RequestId::new(parse_number(text)?))
+}
+
+fn parse_attempt_id(request_id: &str, attempt_index: &str) -> Result<AttemptId, AdapterError> {
+    Ok(AttemptId {
+        request: parse_request_id(request_id)?,
+        index: AttemptIndex::new(parse_number(attempt_index)?),
+    })
+}
+
+fn parse_build(text: &str) -> Result<BuildNumber, AdapterError> {
+    Ok(BuildNumber::new(parse_number(text)?))
+}
+
+fn route_index(name: &str, route_names: &[String]) -> Result<RouteIndex, AdapterError> {
     route_names
         .iter()
         .position(|route_name| route_name == name)
+        .map(RouteIndex::new)
         .ok_or_else(|| AdapterError::UnknownRoute {
             name: name.to_string(),
         })
@@ -121,7 +133,7 @@
         cost_hint,
     };
     Ok(Event::Request {
-        request_id: parse_number(request_id)?,
+        request_id: parse_request_id(request_id)?,
         request,
     })
 }
@@ -144,8 +156,7 @@
         load: parse_load_report(load)?,
     };
     Ok(Event::AttemptFinished {
-        request_id: parse_number(request_id)?,
-        attempt_index: parse_number(attempt_index)?,
+        attempt: parse_attempt_id(request_id, attempt_index)?,
         result,
     })
 }
@@ -154,8 +165,7 @@
     let [request_id, duration, _endpoint, attempt_index] = fields(line)?;
     parse_duration(duration)?;
     Ok(Event::ResponseStarted {
-        request_id: parse_number(request_id)?,
-        attempt_index: parse_number(attempt_index)?,
+        attempt: parse_attempt_id(request_id, attempt_index)?,
     })
 }
 
@@ -194,8 +204,8 @@
     }
     let phase = parse_rollout_phase(phase)?;
     let status = RolloutStatus {
-        build: parse_number(build)?,
-        stage: parse_number(stage)?,
+        build: parse_build(build)?,
+        stage: StageIndex::new(parse_number(stage)?),
         phase,
         traffic_cap: parse_number(traffic_cap)?,
         age: parse_duration(age)?,
@@ -238,7 +248,7 @@
     }
     parse_duration(age)?;
     route_index(route, route_names)?;
-    parse_number::<u32>(build)?;
+    parse_build(build)?;
     parse_number::<f64>(outcomes)?;
     parse_number::<f64>(lost)?;
     Ok(Event::Unused)
--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -1,7 +1,6 @@
 //! Delivers one instance's events of one batch to its policy.
 
-use tidescale_policy::Balancer;
-use tidescale_policy::host::EventSource;
+use tidescale_policy::{Balancer, EventSource};
 
 use crate::batch::EventLine;
 use crate::endpoint_list::EndpointListUpdate;
@@ -54,16 +53,9 @@
             request_id,
             request,
         } => policy.on_request(request_id, request),
-        Event::AttemptFinished {
-            request_id,
-            attempt_index,
-            result,
-        } => policy.on_attempt_result(request_id, attempt_index, result),
+        Event::AttemptFinished { attempt, result } => policy.on_attempt_result(attempt, result),
         Event::ClientDisconnected { request_id } => policy.on_client_disconnected(request_id),
-        Event::ResponseStarted {
-            request_id,
-            attempt_index,
-        } => policy.on_response_started(request_id, attempt_index),
+        Event::ResponseStarted { attempt } => policy.on_response_started(attempt),
         Event::HealthCheckFinished {
             endpoint,
             outcome,
