--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory of this host, and the lock that keeps it to one process at a time.
+//! A directory of this host, and the lock that lets one process at a time use it.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -23,9 +23,9 @@
     Io(#[from] io::Error),
 }
 
-/// An advisory lock, which the system releases however the process ends.
+/// An advisory lock. The operating system releases it when the process ends, also by a crash.
 struct DirectoryLock {
-    /// Locked as long as it is open.
+    /// Locked until it is closed.
     _file: File,
 }
 
@@ -49,16 +49,17 @@
     path: PathBuf,
     /// Files open for writing, by name.
     open_files: BTreeMap<String, File>,
-    /// None if the directory is only inspected.
+    /// `None` if the directory is only inspected.
     _lock: Option<DirectoryLock>,
 }
 
 impl Directory {
-    /// Locks the directory for as long as the value lives, and creates it first if it is missing.
+    /// Locks the directory until the value is dropped, and creates it first if it is missing.
     ///
     /// # Errors
     ///
-    /// [`LockError::Locked`] if another process has locked it; otherwise why it cannot be created or opened.
+    /// [`LockError::Locked`] if another process has locked it; otherwise why it cannot be created
+    /// or opened.
     pub fn lock(path: &Path) -> Result<Directory, LockError> {
         if !path.is_dir() {
             create_durably(path)?;
@@ -71,7 +72,7 @@
         })
     }
 
-    /// Opens the directory for inspection only, whoever has locked it.
+    /// Opens the directory for inspection only, even if a process has locked it.
     pub fn without_lock(path: &Path) -> Directory {
         Directory {
             path: path.into(),
@@ -87,7 +88,8 @@
     }
 }
 
-/// Creates the directory and syncs its parent: if its own name were lost with the power, its content would be too.
+/// Creates the directory and syncs its parent: if a power loss removed the directory's name, its
+/// content would be lost too.
 fn create_durably(path: &Path) -> io::Result<()> {
     fs::create_dir_all(path)?;
     let parent = path
@@ -132,7 +134,8 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        // A directory in a file's place is somebody else's: it may be renamed, never emptied.
+        // A directory in place of a file was made by somebody else: it may be renamed, but its
+        // content is not removed.
         fs::remove_file(self.path.join(name))
     }
 
--- a/crates/snapshot/src/disk.rs
+++ b/crates/snapshot/src/disk.rs
@@ -1,4 +1,4 @@
-//! The one narrow edge to what stores files: a [directory](crate::directory) of the host, or a
+//! The trait behind which files are stored: in a [directory](crate::directory) of the host, or on a
 //! [simulated disk](crate::simulated_disk).
 
 use std::io;
@@ -9,59 +9,60 @@
     ///
     /// # Errors
     ///
-    /// `NotFound` where there is no such file; whatever else reading meets.
+    /// `NotFound` where there is no such file; any other error of reading it.
     fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>>;
 
-    /// Makes an empty file of this name, open for writing.
+    /// Creates an empty file of this name, open for writing.
     ///
     /// # Errors
     ///
-    /// Whatever creating meets.
+    /// Any error of creating the file.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
     /// Appends some of the bytes, at least one. Returns how many.
     ///
     /// # Errors
     ///
-    /// `NotFound` where the file is not open; `Interrupted`, after which the call may be repeated; whatever else
-    /// writing meets.
+    /// `NotFound` where the file is not open; `Interrupted`, after which the call may be repeated;
+    /// any other error of writing.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Makes what was written safe from a power loss.
+    /// Makes all bytes written so far survive a power loss.
     ///
     /// # Errors
     ///
-    /// After a failure nothing that was written since the last success may be relied on, even if it reads well.
+    /// After a failure, any bytes written since the last success may be missing after a power loss,
+    /// even if they can be read now.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Closes a file that was opened for writing.
     fn close(&mut self, name: &str);
 
-    /// Gives a file another name, in place of what had that name.
+    /// Gives a file another name, and replaces the file that had that name.
     ///
     /// # Errors
     ///
-    /// Whatever renaming meets.
+    /// Any error of renaming the file.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Whatever removing meets.
+    /// Any error of removing the file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes names that were created, changed and removed safe from a power loss.
+    /// Makes names that were created, changed or removed survive a power loss.
     ///
     /// # Errors
     ///
-    /// After a failure any of the changes since the last success may be undone.
+    /// After a failure, a power loss may undo any of the changes since the last success.
     fn sync_names(&mut self) -> io::Result<()>;
 
     /// The names in the directory, in order.
     ///
     /// # Errors
     ///
-    /// Whatever listing meets.
+    /// Any error of listing the directory.
     fn names(&mut self) -> io::Result<Vec<String>>;
 }
--- /dev/null
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -0,0 +1,176 @@
+//! What is restored of each kind of record: its sums, weighted by the record's age and limited to
+//! what the policy may take over.
+
+use std::time::Duration;
+
+use tidescale_policy::snapshot::{self, ByZone, ClassLatency, RouteLatency, ZoneSlowdownSums};
+use tidescale_policy::statistics::WeightedSum;
+use tidescale_policy::types::Timestamp;
+
+use super::{Lifetime, ProcessMatch, age};
+use crate::records::{
+    EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RouteRecord,
+    ZonesRecord,
+};
+
+/// Reported load older than this does not describe the present load.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(5);
+/// Most responses that an endpoint's restored slowdown counts for. The next few responses outweigh
+/// it, and the policy lets it decay within seconds, so that an endpoint that has recovered is back
+/// at its fair share within 30 s without health checks.
+pub const MAX_SLOWDOWN_RESPONSES: f64 = 4.0;
+/// Most responses that a restored baseline counts for, so that a fleet that has changed is soon
+/// measured again.
+pub const MAX_BASELINE_RESPONSES: f64 = 200.0;
+/// Most responses that the restored load and slowdown of a hardware class count for.
+const MAX_HARDWARE_CLASS_RESPONSES: f64 = 20.0;
+/// An ejection is restored while its record counts at least this much: for one half-life.
+const MIN_EJECTION_WEIGHT: f64 = 0.5;
+/// Failures may exceed outcomes by this much before the record counts as damaged: both are rounded
+/// sums.
+const FAILURE_TOLERANCE: f64 = 1.0;
+
+/// What is restored of an endpoint that is still the same process.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RestoredEndpoint {
+    /// Sum of its slowdowns and number of responses; `None` where they are not plausible.
+    pub slowdown: Option<WeightedSum>,
+    /// Whether it is ejected again, until health checks show that it has recovered.
+    pub ejected: bool,
+}
+
+/// What still counts of an endpoint's record; `None` if it has expired or the process is a
+/// different one.
+pub fn restore_endpoint(
+    record: &EndpointRecord,
+    now: Timestamp,
+    process: ProcessMatch,
+) -> Option<RestoredEndpoint> {
+    let weight = Lifetime::ENDPOINT.weight(record.observed_at, now);
+    if process == ProcessMatch::Different || weight == 0.0 {
+        return None;
+    }
+    Some(RestoredEndpoint {
+        slowdown: weighted_sums(record.slowdown, MAX_SLOWDOWN_RESPONSES, weight),
+        ejected: record.ejected && weight >= MIN_EJECTION_WEIGHT,
+    })
+}
+
+/// What is restored of a hardware class; `None` where sums are not plausible or have expired.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RestoredHardwareClass {
+    /// Sum of the requests in flight that its endpoints reported, and number of reports.
+    pub load: Option<WeightedSum>,
+    /// Sum of the slowdowns and number of responses.
+    pub slowdown: Option<WeightedSum>,
+    /// Sums from before a rollout.
+    pub baseline: Option<ClassLatency>,
+}
+
+/// What still counts of a hardware class's record.
+pub fn restore_hardware_class(
+    record: &HardwareClassRecord,
+    now: Timestamp,
+) -> RestoredHardwareClass {
+    let weight = Lifetime::BASELINE.weight(record.observed_at, now);
+    let load_is_fresh = age(record.observed_at, now).is_some_and(|age| age < MAX_LOAD_AGE);
+    let load_weight = if load_is_fresh { weight } else { 0.0 };
+    RestoredHardwareClass {
+        load: weighted_sums(record.load, MAX_HARDWARE_CLASS_RESPONSES, load_weight),
+        slowdown: weighted_sums(record.slowdown, MAX_HARDWARE_CLASS_RESPONSES, weight),
+        baseline: weighted_sums(record.baseline, MAX_BASELINE_RESPONSES, weight),
+    }
+}
+
+/// What still counts of a route's baseline.
+pub fn restore_route(record: &RouteRecord, now: Timestamp) -> Option<RouteLatency> {
+    let weight = Lifetime::BASELINE.weight(record.observed_at, now);
+    weighted_sums(record.baseline, MAX_BASELINE_RESPONSES, weight)
+}
+
+/// What still counts of the slowdowns by zone; `None` once the record has expired.
+pub fn restore_zones(record: &ZonesRecord, now: Timestamp) -> Option<ZoneSlowdownSums> {
+    let weight = Lifetime::FLEET.weight(record.observed_at, now);
+    let weighted = |zone: WeightedSum| WeightedSum {
+        sum: zone.sum * weight,
+        weight: zone.weight * weight,
+    };
+    (weight > 0.0).then(|| ByZone {
+        own: weighted(record.slowdowns.own),
+        other: weighted(record.slowdowns.other),
+    })
+}
+
+/// What still counts of the fleet before the rollout; `None` once the record has expired. Only the
+/// counts are weighted: how they are spread and the rates are measurements of that time.
+pub fn restore_fleet_baseline(
+    record: &FleetBaselineRecord,
+    now: Timestamp,
+) -> Option<snapshot::FleetBaselineRecord> {
+    let weight = Lifetime::FLEET.weight(record.observed_at, now);
+    (weight > 0.0).then(|| snapshot::FleetBaselineRecord {
+        taken_at: record.observed_at.min(now),
+        outcomes: weight * record.outcomes,
+        failures: weight * record.failures,
+        spread: record.spread,
+        endpoints: record.endpoints,
+        attempts_per_second: record.attempts_per_second,
+    })
+}
+
+/// What is restored of an endpoint's outcomes; the policy limits how much they count in a verdict.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RestoredOutcomes {
+    /// Number of outcomes in each test.
+    pub outcomes: Vec<f64>,
+    /// Number of outcomes that count as failures in each test.
+    pub failures: Vec<f64>,
+}
+
+/// What still counts of an endpoint's outcomes; `None` if they have expired, are not plausible or
+/// the process is a different one.
+pub fn restore_outcomes(
+    record: &OutcomeRecord,
+    now: Timestamp,
+    process: ProcessMatch,
+) -> Option<RestoredOutcomes> {
+    let weight = Lifetime::OUTCOMES.weight(record.observed_at, now);
+    if process == ProcessMatch::Different || weight == 0.0 || !is_plausible(record) {
+        return None;
+    }
+    let weighted = |sums: &[f64]| sums.iter().map(|sum| sum * weight).collect();
+    Some(RestoredOutcomes {
+        outcomes: weighted(&record.outcomes),
+        failures: weighted(&record.failures),
+    })
+}
+
+fn is_plausible(record: &OutcomeRecord) -> bool {
+    let sums = || record.outcomes.iter().zip(&record.failures);
+    record.outcomes.len() == record.failures.len()
+        && sums().all(|(outcomes, failures)| is_sum(*outcomes) && is_sum(*failures))
+        && sums().all(|(outcomes, failures)| *failures <= *outcomes + FAILURE_TOLERANCE)
+}
+
+/// Decaying sums, of which the last one is the number of responses: weighted, and scaled down to at
+/// most `max_responses`. `None` if they are not plausible or count nothing.
+fn weighted_sums<Sums, const LENGTH: usize>(
+    sums: Sums,
+    max_responses: f64,
+    weight: f64,
+) -> Option<Sums>
+where
+    Sums: Into<[f64; LENGTH]> + From<[f64; LENGTH]>,
+{
+    let sums: [f64; LENGTH] = sums.into();
+    let responses = *sums.last()?;
+    if weight <= 0.0 || responses <= 0.0 || !sums.iter().all(|sum| is_sum(*sum)) {
+        return None;
+    }
+    let scale = (max_responses / responses).min(1.0);
+    Some(sums.map(|sum| sum * weight * scale).into())
+}
+
+fn is_sum(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,17 +1,18 @@
-//! The snapshot file's format: a header of fixed length, then records that each name their kind and length.
+//! The format of a snapshot file: a header of fixed length, then records, each with its kind and
+//! length.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 8 | `tidemem` and a line feed |
 //! | 4 | version, big-endian as all numbers here |
 //! | 4 | CRC-32 of all that follows, to the end of the file |
-//! | 8 | sequence: one more with each snapshot that was written |
+//! | 8 | sequence number: one more with each snapshot that was written |
 //! | 8 | when it was written, Unix time in microseconds |
 //! | 8 | bytes after the header |
 //! | 4 | records |
 //!
-//! A record is its kind (2 bytes), its length (4 bytes) and a body in CBOR. A reader steps over records of kinds
-//! that it does not know; fields that it does not know are passed over inside a body.
+//! A record is its kind (2 bytes), its length (4 bytes) and a body in CBOR. A reader skips records
+//! of unknown kinds and, inside a body, unknown fields.
 
 mod decode;
 mod encode;
@@ -30,20 +31,20 @@
 
 /// The version that is written; every version up to it is read.
 pub const VERSION: u32 = 1;
-/// Most bytes of a file, so that a restart reads it within milliseconds. Records that do not fit are left out, from
-/// the end.
+/// Most bytes of a file, so that a restart reads it within milliseconds. Records that do not fit
+/// are left out, starting with the last.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
-/// Bytes that a reader needs of a file to decode it or to see that it is too long.
+/// Number of bytes that a reader needs of a file to decode it or to find that it is too long.
 pub const READ_LIMIT: usize = MAX_FILE_BYTES + HEADER_BYTES;
 /// Length of the header.
 pub const HEADER_BYTES: usize = 44;
 
-/// A file begins with this.
+/// Every file begins with these bytes.
 const MAGIC: &[u8; 8] = b"tidemem\n";
 /// Kind and length before each record's body.
 const RECORD_HEADER_BYTES: usize = 6;
 
-/// Where the header's fields are.
+/// Positions of the header's fields.
 mod header {
     use super::Range;
 
@@ -73,13 +74,14 @@
 /// One complete snapshot of what an instance has learned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Rises by one with each snapshot written; the higher of two is the newer.
+    /// Higher by one with each snapshot written: of two snapshots, the one with the higher number
+    /// is newer.
     pub sequence: u64,
-    /// When it was written.
+    /// Time of writing.
     pub written_at: Timestamp,
-    /// What was learned; the most important records come first.
+    /// The records; the most important come first.
     pub records: Vec<Record>,
-    /// Records that were skipped because this version does not know their kind.
+    /// Number of records that were skipped because this version does not know their kind.
     pub unknown_records: usize,
 }
 
@@ -96,39 +98,53 @@
     }
 }
 
-/// Why a file is not read.
+/// Why a file cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FormatError {
-    /// It has no bytes.
+    /// The file has no bytes.
     #[error("empty")]
     Empty,
-    /// It is longer than any file that is written.
+    /// The file is longer than any file that is written.
     #[error("too long, over {MAX_FILE_BYTES} bytes")]
     TooLong,
-    /// It does not begin with the magic bytes.
+    /// The file does not begin with the magic bytes.
     #[error("not a snapshot file")]
     NotASnapshot,
-    /// Its version is later than [`VERSION`].
-    #[error("of the newer version {0}")]
+    /// The file's version is later than [`VERSION`].
+    #[error("written by a newer version: format {0}")]
     NewerVersion(u32),
-    /// It ends before its header does, or is not as long as the header says.
-    #[error("not as long as it says")]
+    /// The file ends inside its header, or its length differs from the length in the header.
+    #[error("torn: the length differs from the length in the header")]
     Torn,
-    /// Its bytes are not those that were written.
+    /// The bytes are not those that were written.
     #[error("checksum does not match")]
     ChecksumMismatch,
     /// The checksum matches, but a record cannot be decoded.
-    #[error("the record at byte {offset} can't be read: {reason}")]
+    #[error("cannot decode the record at byte {offset}: {reason}")]
     InvalidRecord {
-        /// Where the record begins.
+        /// Position of the record in the file.
         offset: usize,
-        /// What is wrong with it.
-        reason: String,
+        /// Why it cannot be decoded.
+        reason: InvalidRecord,
     },
 }
 
+/// Why a record cannot be decoded.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidRecord {
+    /// The file ends inside the record.
+    #[error("the record is truncated")]
+    Truncated,
+    /// Bytes follow after the last record that the header counts.
+    #[error("more records than the header counts")]
+    TrailingBytes,
+    /// The body is not the CBOR of a record of this kind; the message is the CBOR reader's.
+    #[error("{0}")]
+    InvalidBody(String),
+}
+
 impl FormatError {
-    /// One word for the reason, used in the name of the file that is set aside.
+    /// One word for the reason, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             FormatError::Empty => "empty",
--- a/crates/snapshot/src/format/decode.rs
+++ b/crates/snapshot/src/format/decode.rs
@@ -1,4 +1,4 @@
-//! From the bytes of a file to its snapshot.
+//! Decodes the bytes of a file to its snapshot.
 
 use std::ops::Range;
 
@@ -8,15 +8,15 @@
 use crate::records::Record;
 
 use super::{
-    FormatError, HEADER_BYTES, MAGIC, MAX_FILE_BYTES, RECORD_HEADER_BYTES, Snapshot, VERSION,
-    header, kind,
+    FormatError, HEADER_BYTES, InvalidRecord, MAGIC, MAX_FILE_BYTES, RECORD_HEADER_BYTES, Snapshot,
+    VERSION, header, kind,
 };
 
-/// The snapshot of a whole file.
+/// Decodes a whole file.
 ///
 /// # Errors
 ///
-/// Whatever makes the file unusable; nothing of it is read then.
+/// The first reason for which the file cannot be used; nothing of it is used then.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, FormatError> {
     if bytes.is_empty() {
         return Err(FormatError::Empty);
@@ -26,7 +26,7 @@
     }
     check_magic(bytes)?;
     let version = u32::from_be_bytes(header_field(bytes, header::VERSION)?);
-    // A newer version may mean anything by what follows, its checksum too.
+    // A newer version may give the bytes that follow another meaning, also those of the checksum.
     if version > VERSION {
         return Err(FormatError::NewerVersion(version));
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// What the records say, whatever the checksum.
+/// Decodes header and records without checking the checksum.
 pub(crate) fn decode_records(bytes: &[u8]) -> Result<Snapshot, FormatError> {
     let written_at = u64::from_be_bytes(header_field(bytes, header::WRITTEN_AT)?);
     let mut snapshot = Snapshot {
@@ -66,14 +66,20 @@
         match decode_body(&raw) {
             Ok(Some(record)) => snapshot.records.push(record),
             Ok(None) => snapshot.unknown_records += 1,
-            Err(cause) => return Err(invalid_record(offset, &cause.to_string())),
+            Err(cause) => {
+                let reason = InvalidRecord::InvalidBody(cause.to_string());
+                return Err(FormatError::InvalidRecord { offset, reason });
+            }
         }
         offset = raw.end;
     }
     if offset == bytes.len() {
         Ok(snapshot)
     } else {
-        Err(invalid_record(offset, "more records than were announced"))
+        Err(FormatError::InvalidRecord {
+            offset,
+            reason: InvalidRecord::TrailingBytes,
+        })
     }
 }
 
@@ -81,29 +87,32 @@
 struct RawRecord<'a> {
     kind: u16,
     body: &'a [u8],
-    /// Where the next record begins.
+    /// Position of the next record in the file.
     end: usize,
 }
 
 fn raw_record(bytes: &[u8], offset: usize) -> Result<RawRecord<'_>, FormatError> {
-    let cut_off = || invalid_record(offset, "it is cut off");
+    let truncated = || FormatError::InvalidRecord {
+        offset,
+        reason: InvalidRecord::Truncated,
+    };
     let length_start = offset + size_of::<u16>();
     let body_start = offset + RECORD_HEADER_BYTES;
-    let kind = field(bytes, offset..length_start).ok_or_else(cut_off)?;
-    let length = field(bytes, length_start..body_start).ok_or_else(cut_off)?;
+    let kind = field(bytes, offset..length_start).ok_or_else(truncated)?;
+    let length = field(bytes, length_start..body_start).ok_or_else(truncated)?;
     let end = body_start
         .checked_add(u32::from_be_bytes(length) as usize)
-        .ok_or_else(cut_off)?;
+        .ok_or_else(truncated)?;
     Ok(RawRecord {
         kind: u16::from_be_bytes(kind),
-        body: bytes.get(body_start..end).ok_or_else(cut_off)?,
+        body: bytes.get(body_start..end).ok_or_else(truncated)?,
         end,
     })
 }
 
 type BodyError = ciborium::de::Error<std::io::Error>;
 
-/// The record; none of a kind that this version does not know.
+/// Decodes the record; `None` if this version does not know its kind.
 fn decode_body(raw: &RawRecord<'_>) -> Result<Option<Record>, BodyError> {
     let body = raw.body;
     Ok(Some(match raw.kind {
@@ -125,11 +134,11 @@
     ciborium::from_reader(body)
 }
 
-/// Brings an older version's snapshot to this one's meaning, a step for each version.
+/// Converts the snapshot of an older version, step by step from version to version.
 fn migrate(version: u32, snapshot: Snapshot) -> Result<Snapshot, FormatError> {
     match version {
         VERSION => Ok(snapshot),
-        // There was none before the first.
+        // Version 1 is the first.
         _ => Err(FormatError::NotASnapshot),
     }
 }
@@ -138,14 +147,7 @@
     bytes.get(at)?.try_into().ok()
 }
 
-/// A field of the header, which may be cut off.
+/// A field of the header, which may be truncated.
 fn header_field<const N: usize>(bytes: &[u8], at: Range<usize>) -> Result<[u8; N], FormatError> {
     field(bytes, at).ok_or(FormatError::Torn)
 }
-
-fn invalid_record(offset: usize, reason: &str) -> FormatError {
-    FormatError::InvalidRecord {
-        offset,
-        reason: reason.to_owned(),
-    }
-}
--- a/crates/snapshot/src/format/encode.rs
+++ b/crates/snapshot/src/format/encode.rs
@@ -1,4 +1,4 @@
-//! From a snapshot to the bytes of its file.
+//! Encodes a snapshot to the bytes of its file.
 
 use crate::records::Record;
 
@@ -6,7 +6,7 @@
     HEADER_BYTES, MAGIC, MAX_FILE_BYTES, RECORD_HEADER_BYTES, Snapshot, VERSION, header, kind,
 };
 
-/// The file of this snapshot; records beyond [`MAX_FILE_BYTES`] are left out, the last ones first.
+/// Encodes the snapshot; records beyond [`MAX_FILE_BYTES`] are left out, starting with the last.
 pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let mut bytes = vec![0; HEADER_BYTES];
     let mut record_count = 0u32;
@@ -32,7 +32,7 @@
     bytes
 }
 
-/// Kind, length and body.
+/// Appends the record's kind, length and body.
 fn append_record(record: &Record, bytes: &mut Vec<u8>) {
     let start = bytes.len();
     bytes.extend(kind_of(record).to_be_bytes());
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,17 +1,19 @@
-//! What a proxy instance has learned, durable over a restart: the records, their file, how they expire, and the
-//! directory that holds the file.
+//! Snapshots of what a proxy instance has learned, kept over a restart: the records, their file,
+//! how they expire, and the directory that holds the files.
 //!
-//! | module | its one job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`records`] | what is stored, one type for each kind of record |
-//! | [`mod@format`] | bytes of a snapshot file: encoding, decoding, versions |
+//! | [`records`] | the stored records, one type for each kind |
+//! | [`mod@format`] | format of a snapshot file: encoding, decoding, versions |
 //! | [`expiry`] | how much a record still counts at a later time |
-//! | [`store`] | two generations of snapshots in one directory, crash-safe |
-//! | [`disk`], [`directory`] | the narrow trait to what stores files, and its real side |
+//! | [`store`] | two generations of snapshots in one directory, safe against crashes |
+//! | [`disk`] | the trait behind which files are stored |
+//! | [`directory`] | its implementation in a directory of the host |
 //! | [`rate_limit`], [`scheduler`] | budgets for background work, and which job runs next |
-//! | [`simulated_disk`], [`crash_history`] | the trait's simulated side, and power losses played on it |
+//! | [`simulated_disk`] | its simulated implementation, with faults |
+//! | [`crash_history`] | power losses at every step on a simulated disk |
 //!
-//! `records`, `format`, `expiry`, `rate_limit` and `scheduler` decide and do no I/O.
+//! `records`, `format`, `expiry`, `rate_limit` and `scheduler` do no I/O.
 
 pub mod crash_history;
 pub mod directory;
--- a/crates/snapshot/src/rate_limit.rs
+++ b/crates/snapshot/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A token bucket: how much background work may be done in a second on average.
+//! A token bucket that limits how much background work is done per second on average.
 
 use std::time::Duration;
 
@@ -6,18 +6,20 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Lowest rate that waits are computed with, so that a rate of zero gives a finite wait.
+/// Lowest rate in tokens per second that waits are computed with, so that a rate of zero gives a
+/// finite wait.
 const MIN_RATE: f64 = 1e-9;
-/// Longest wait in microseconds, about eleven days, so that any amount overspent gives a wait that fits an integer.
+/// Longest wait in microseconds, about eleven days, so that any amount overspent gives a wait that
+/// fits an integer.
 const MAX_WAIT_MICROS: f64 = 1e12;
 
 /// A token bucket that refills at a constant rate and holds at most one second's worth.
 ///
-/// It may be overspent; the debt is paid off before anything is available again. A clock that stops or goes back
-/// refills nothing.
+/// It may be overspent; then no tokens are available until the debt is refilled. While the clock
+/// stops or runs backwards, nothing is refilled.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
-    /// Tokens per second, and the capacity.
+    /// Tokens per second; also the capacity in tokens.
     rate: f64,
     /// Tokens left; negative after overspending.
     available: f64,
@@ -40,7 +42,7 @@
         self.available -= amount;
     }
 
-    /// Time until tokens are available again; zero if some are now.
+    /// Time until tokens are available; zero if some are available now.
     pub fn wait(&mut self, now: Timestamp) -> Duration {
         self.refill(now);
         let missing = -self.available;
--- a/crates/snapshot/src/records.rs
+++ b/crates/snapshot/src/records.rs
@@ -1,16 +1,17 @@
-//! What a snapshot stores: records, each with the time it was observed.
+//! The records that a snapshot stores, each with the time at which it was observed.
 //!
-//! Times are Unix time in whole microseconds. Decaying sums are stored as the policy holds them, decayed to the
-//! record's time, so that a later reader goes on from there.
+//! Times are stored as Unix time in whole microseconds. Decaying sums are stored as the policy
+//! holds them, decayed to the record's time, so that a later reader continues from there.
 //!
-//! Invariants of the file: a field keeps its name there, whatever it is called here (`#[serde(rename = "…")]`), and
-//! fields keep their order. Every field added after version 1 has a default, and readers skip fields that they do not
-//! know, so that programs of different age read each other's files as long as the format's version is the same.
+//! Invariants of the file: a stored field keeps its name, even if it is renamed here
+//! (`#[serde(rename = "…")]`), and fields keep their order. Every field added after version 1 has a
+//! default, and readers skip unknown fields, so that older and newer programs read each other's
+//! files as long as the format's version is the same.
 
 mod endpoint;
 mod fleet;
 mod rollout;
-mod unix_micros;
+mod stored;
 
 use serde::{Deserialize, Serialize};
 use tidescale_policy::types::Timestamp;
@@ -35,21 +36,21 @@
     /// Outcomes of one endpoint under one build.
     #[serde(rename = "Evidence")]
     Outcomes(OutcomeRecord),
-    /// A build that was found bad.
+    /// A build that was rejected.
     #[serde(rename = "Condemned")]
     RejectedBuild(RejectedBuildRecord),
     /// The fleet before the rollout.
     #[serde(rename = "Calm")]
     FleetBaseline(FleetBaselineRecord),
-    /// How the zones compare.
+    /// How this instance's zone compares with the others.
     Zones(ZonesRecord),
-    /// The lowest build that an idempotency key may go to.
+    /// The lowest build that requests with an idempotency key may be sent to.
     #[serde(rename = "Key")]
     KeyBuild(KeyBuildRecord),
     /// One entry of the endpoint list.
     #[serde(rename = "Listed")]
     ListedEndpoint(ListedEndpointRecord),
-    /// Where the newest build's rollout stood.
+    /// The state of the newest build's rollout.
     #[serde(rename = "News")]
     Rollout(RolloutRecord),
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The process whose behaviour the record describes; none for other kinds of records.
+    /// The process whose behaviour the record describes; `None` for other kinds of records.
     pub fn observed_process(&self) -> Option<&Process> {
         match self {
             Record::Endpoint(record) => Some(&record.process),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The kind of record, for operators.
+    /// The kind of record, as operators see it.
     pub fn kind_name(&self) -> &'static str {
         match self {
             Record::Endpoint(_) => "endpoint",
@@ -96,7 +97,7 @@
         }
     }
 
-    /// What the record is about, for operators.
+    /// What the record describes, as operators see it.
     pub fn subject(&self) -> String {
         match self {
             Record::Endpoint(record) => {
--- a/crates/snapshot/src/records/endpoint.rs
+++ b/crates/snapshot/src/records/endpoint.rs
@@ -1,12 +1,13 @@
 //! Records of single endpoints: how they behaved, and how they were listed.
 
 use serde::{Deserialize, Serialize};
-use tidescale_policy::types::Timestamp;
+use tidescale_policy::statistics::WeightedSum;
+use tidescale_policy::types::{BuildNumber, Timestamp};
 
-use super::unix_micros;
+use super::stored::{array, build_number, unix_micros};
 
-/// Identity of an endpoint's process. With another address, build or start it is another process, even under the
-/// same name.
+/// Identity of an endpoint's process. With another address, build or time of start it is another
+/// process, even under the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Process {
     /// Name of the endpoint in the endpoint list.
@@ -15,9 +16,10 @@
     /// Where it listens, as `address:port`.
     #[serde(rename = "addr")]
     pub address: String,
-    /// Number of the build that it runs.
-    pub build: u32,
-    /// When it started; the origin where it has run for long.
+    /// The build that it runs.
+    #[serde(with = "build_number")]
+    pub build: BuildNumber,
+    /// When it started; [`Timestamp::ZERO`] if it had started long before it was first listed.
     #[serde(rename = "started", with = "unix_micros")]
     pub started_at: Timestamp,
 }
@@ -28,18 +30,19 @@
     /// When it was observed.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// The process that behaved so.
+    /// The observed process.
     pub process: Process,
     /// Its hardware class.
     #[serde(rename = "kind")]
     pub hardware_class: String,
-    /// Decaying sums: response times against the route's baseline, and responses.
-    #[serde(rename = "pace")]
-    pub slowdown: [f64; 2],
+    /// Decaying sum of the slowdowns (latencies against the route's baseline), and number of
+    /// responses.
+    #[serde(rename = "pace", with = "array")]
+    pub slowdown: WeightedSum,
     /// Its last load report.
     #[serde(rename = "load")]
     pub reported_load: ReportedLoad,
-    /// It let attempts pass without any response, or was ejected for that.
+    /// It was ejected.
     #[serde(rename = "aside")]
     pub ejected: bool,
 }
@@ -48,9 +51,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, u64)", into = "(f64, u64)")]
 pub struct ReportedLoad {
-    /// Requests that it said it works on or holds.
+    /// Requests that it was executing or holding, by its own count.
     pub in_flight: f64,
-    /// When it said so.
+    /// When it reported that.
     pub reported_at: Timestamp,
 }
 
@@ -69,7 +72,7 @@
     }
 }
 
-/// Outcomes of one endpoint under one build, for each of the policy's tests by its place.
+/// Outcomes of one endpoint under one build, for each of the policy's tests by its index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
     /// When they were observed: the time that the sums have decayed to.
@@ -78,7 +81,8 @@
     /// The process that the attempts went to.
     pub process: Process,
     /// The build that the outcomes count for.
-    pub build: u32,
+    #[serde(with = "build_number")]
+    pub build: BuildNumber,
     /// Decaying sums of outcomes, one for each test.
     #[serde(rename = "all")]
     pub outcomes: Vec<f64>,
@@ -105,24 +109,24 @@
     pub hardware_class: String,
     /// Its cell within the zone.
     pub cell: u64,
-    /// What the list says of it.
+    /// Its state in the list.
     pub state: ListedState,
 }
 
-/// State of an endpoint in the endpoint list; an endpoint that has left is not in it.
+/// State of an endpoint in the endpoint list; a removed endpoint is not in it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum ListedState {
-    /// Takes new requests.
+    /// It takes new requests.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// It finishes the requests that it has and takes no new ones.
     Draining,
-    /// A word that this version does not know, as it stands in the file.
+    /// A word of the file that this version does not know; it is written back unchanged.
     Unknown(String),
 }
 
 impl ListedState {
-    /// The state in the file's words.
+    /// The word for the state in the file.
     pub fn as_str(&self) -> &str {
         match self {
             ListedState::Ready => "active",
--- a/crates/snapshot/src/records/fleet.rs
+++ b/crates/snapshot/src/records/fleet.rs
@@ -1,9 +1,12 @@
-//! Records of what is common to many endpoints: hardware classes, routes, zones and the whole fleet.
+//! Records of what many endpoints have in common: hardware classes, routes, zones and the whole
+//! fleet.
 
 use serde::{Deserialize, Serialize};
+use tidescale_policy::snapshot::{ClassLatency, RouteLatency, ZoneSlowdownSums};
+use tidescale_policy::statistics::{Spread, WeightedSum};
 use tidescale_policy::types::Timestamp;
 
-use super::unix_micros;
+use super::stored::{array, unix_micros, zone_pair};
 
 /// What was learned of the endpoints of one hardware class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -14,15 +17,16 @@
     /// The class as the endpoint list names it.
     #[serde(rename = "kind")]
     pub name: String,
-    /// Decaying sums: requests in flight that its endpoints reported, and reports.
-    pub load: [f64; 2],
-    /// Decaying sums: response times against the route's baseline, and responses.
-    #[serde(rename = "pace")]
-    pub slowdown: [f64; 2],
-    /// Decaying sums before a rollout: response times against the baseline, requests in flight together with the one
-    /// answered, and responses.
-    #[serde(rename = "usual")]
-    pub baseline: [f64; 3],
+    /// Decaying sum of the requests in flight that its endpoints reported, and number of reports.
+    #[serde(with = "array")]
+    pub load: WeightedSum,
+    /// Decaying sum of the slowdowns (latencies against the route's baseline), and number of
+    /// responses.
+    #[serde(rename = "pace", with = "array")]
+    pub slowdown: WeightedSum,
+    /// Decaying sums from before a rollout, when baselines are learned.
+    #[serde(rename = "usual", with = "array")]
+    pub baseline: ClassLatency,
 }
 
 /// Baseline latency of one route.
@@ -33,25 +37,26 @@
     pub observed_at: Timestamp,
     /// The route's name; empty for all routes together.
     pub route: String,
-    /// Decaying sums: response time in microseconds, cost, responses.
-    #[serde(rename = "usual")]
-    pub baseline: [f64; 3],
+    /// Decaying sums behind the baseline.
+    #[serde(rename = "usual", with = "array")]
+    pub baseline: RouteLatency,
 }
 
-/// The fleet before the rollout that goes on.
+/// The fleet before the rollout that is in progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetBaselineRecord {
     /// When the baseline was taken.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// Outcomes.
+    /// Number of outcomes.
     pub outcomes: f64,
-    /// Slow ones among them.
+    /// Number of slow ones among them.
     #[serde(rename = "hits")]
     pub failures: f64,
-    /// Sums over the endpoints: failures squared, failures times outcomes, outcomes squared.
-    pub spread: [f64; 3],
-    /// Endpoints in service.
+    /// How unevenly both are spread over the endpoints.
+    #[serde(with = "array")]
+    pub spread: Spread,
+    /// Number of endpoints in service.
     #[serde(rename = "machines")]
     pub endpoints: usize,
     /// Attempts a second that this instance made.
@@ -65,7 +70,7 @@
     /// When it was observed: the time that the sums have decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// Decaying sums in the own zone, then in others: response times against the baseline, and responses.
-    #[serde(rename = "paces")]
-    pub slowdowns: [[f64; 2]; 2],
+    /// Decaying sum of the slowdowns and number of responses, of the own zone and of all others.
+    #[serde(rename = "paces", with = "zone_pair")]
+    pub slowdowns: ZoneSlowdownSums,
 }
--- a/crates/snapshot/src/records/rollout.rs
+++ b/crates/snapshot/src/records/rollout.rs
@@ -1,21 +1,23 @@
-//! Records of builds: where the newest one's rollout stood, what was found of it, and which keys are bound to it.
+//! Records of builds: the state of the newest build's rollout, rejected builds, and the builds that
+//! idempotency keys are bound to.
 
 use serde::{Deserialize, Serialize};
-use tidescale_policy::types::{self, Timestamp};
+use tidescale_policy::types::{self, BuildNumber, StageIndex, Timestamp};
 
-use super::unix_micros;
+use super::stored::{build_number, stage_index, unix_micros};
 
-/// A build that was found bad.
+/// A build that was rejected: this instance had found that it must be rolled back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RejectedBuildRecord {
-    /// When it was found bad.
+    /// When it was rejected.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The build.
-    pub build: u32,
+    #[serde(with = "build_number")]
+    pub build: BuildNumber,
 }
 
-/// The lowest build that an idempotency key may go to.
+/// The lowest build that requests with an idempotency key may be sent to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyBuildRecord {
     /// When it was stored.
@@ -23,20 +25,23 @@
     pub observed_at: Timestamp,
     /// The idempotency key.
     pub key: String,
-    /// The latest build that has answered it.
-    pub build: u32,
+    /// The latest build that has answered a request with this key.
+    #[serde(with = "build_number")]
+    pub build: BuildNumber,
 }
 
-/// Where the newest build's rollout stood, as the platform last announced it.
+/// The state of the newest build's rollout, as the platform last announced it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// When it was stored.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The newest build.
-    pub build: u32,
+    #[serde(with = "build_number")]
+    pub build: BuildNumber,
     /// Stage of its evaluation, from 0.
-    pub stage: u32,
+    #[serde(with = "stage_index")]
+    pub stage: StageIndex,
     /// Phase of its rollout.
     pub phase: RolloutPhase,
     /// Share of the requests that may be attempted at it.
@@ -47,7 +52,7 @@
     pub since: Timestamp,
 }
 
-/// Phase of a rollout, as the file carries it.
+/// Phase of a rollout, in the words of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum RolloutPhase {
@@ -59,12 +64,12 @@
     Released,
     /// The build has been taken out.
     Withdrawn,
-    /// A word that this version does not know, as it stands in the file.
+    /// A word of the file that this version does not know; it is written back unchanged.
     Unknown(String),
 }
 
 impl RolloutPhase {
-    /// The phase in the file's words.
+    /// The word for the phase in the file.
     pub fn as_str(&self) -> &str {
         match self {
             RolloutPhase::Canary => "trial",
--- a/crates/snapshot/src/scheduler.rs
+++ b/crates/snapshot/src/scheduler.rs
@@ -1,19 +1,20 @@
-//! Decides which background job runs next: the due job of the highest priority, as far as the budgets of time and
-//! bytes allow. It never runs anything itself; the caller measures each slice of work and reports what it used.
+//! Decides which background job runs next: the due job of the highest priority, if the budgets of
+//! time and bytes allow. It does not run jobs itself; the caller measures each slice of work and
+//! reports what it used.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use tidescale_policy::types::{Timestamp, whole_micros};
+use tidescale_policy::types::{Timestamp, fractional_micros};
 
 use crate::rate_limit::RateLimit;
 
-/// What background work may use.
+/// Limits of background work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budgets {
-    /// Working time in each second.
+    /// Working time per second.
     pub time_per_second: Duration,
-    /// Bytes written in each second.
+    /// Bytes written per second.
     pub bytes_per_second: u64,
 }
 
@@ -22,7 +23,7 @@
 pub struct JobId(usize);
 
 struct Job {
-    /// Higher runs first.
+    /// The job with the highest priority runs first.
     priority: u8,
     interval: Duration,
     due_at: Timestamp,
@@ -31,14 +32,16 @@
 /// The jobs and their common budgets.
 pub struct Scheduler {
     jobs: Vec<Job>,
+    /// In microseconds of working time.
     time: RateLimit,
+    /// In bytes written.
     bytes: RateLimit,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs, whose budgets are full.
+    /// A scheduler without jobs and with full budgets.
     pub fn new(budgets: Budgets, now: Timestamp) -> Scheduler {
-        let micros_per_second = whole_micros(budgets.time_per_second) as f64;
+        let micros_per_second = fractional_micros(budgets.time_per_second);
         Scheduler {
             jobs: Vec::new(),
             time: RateLimit::new(micros_per_second, now),
@@ -46,8 +49,9 @@
         }
     }
 
-    /// Adds a job that is first due at `first_due_at`, and then `interval` after each time it finishes. Among due
-    /// jobs the highest priority runs first, then the one that has been due the longest.
+    /// Adds a job that is first due at `first_due_at`, and then `interval` after each time it
+    /// finishes. Among due jobs the highest priority runs first, then the one that has been due the
+    /// longest.
     pub fn add(&mut self, priority: u8, first_due_at: Timestamp, interval: Duration) -> JobId {
         self.jobs.push(Job {
             priority,
@@ -71,7 +75,7 @@
 
     /// Charges a slice's working time to the budget.
     pub fn record_time(&mut self, time: Duration, now: Timestamp) {
-        self.time.spend(whole_micros(time) as f64, now);
+        self.time.spend(fractional_micros(time), now);
     }
 
     /// Charges bytes written to the budget.
@@ -79,20 +83,20 @@
         self.bytes.spend(bytes as f64, now);
     }
 
-    /// Marks the job as done for now: it is due again after its interval.
+    /// Marks the job as done: it is due again after its interval.
     pub fn finish(&mut self, job: JobId, now: Timestamp) {
         if let Some(job) = self.jobs.get_mut(job.0) {
             job.due_at = now + job.interval;
         }
     }
 
-    /// Earliest time at which [`next`](Scheduler::next) may return a job; none without jobs.
+    /// Earliest time at which [`next`](Scheduler::next) may return a job; `None` without jobs.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         let first_due_at = self.jobs.iter().map(|job| job.due_at).min()?;
         Some(first_due_at.max(now + self.budget_wait(now)))
     }
 
-    /// How long until neither budget is overspent.
+    /// Time until neither budget is overspent.
     fn budget_wait(&mut self, now: Timestamp) -> Duration {
         self.time.wait(now).max(self.bytes.wait(now))
     }
--- a/crates/snapshot/src/simulated_disk.rs
+++ b/crates/snapshot/src/simulated_disk.rs
@@ -1,5 +1,6 @@
-//! A simulated disk with the faults that a real one shows once a year. Every write, sync, rename and sync of names is a step at
-//! which the power may fail; of what was not synced any part survives, sector by sector and name by name.
+//! A simulated disk with the faults that a real one rarely shows. The power may fail at every step:
+//! a write, a sync, a rename or a sync of names. Of the changes that were not synced, any part
+//! survives, sector by sector and name by name.
 //!
 //! Deterministic: the same seed and the same calls give the same faults.
 
@@ -14,12 +15,15 @@
 
 use file_content::{FileContent, SECTOR_BYTES};
 
-/// With random faults on, one step in so many fails: often enough for every kind of fault to come up, rarely enough
-/// for some saves to succeed.
+/// With random faults, one step in this many fails: often enough for every kind of fault to occur,
+/// rarely enough for some saves to succeed.
 const STEPS_PER_FAULT: u64 = 12;
-/// The disk takes so many bytes at a time, so that a file is many steps.
+/// Kinds of faults of a write.
+const WRITE_FAULT_KINDS: u64 = 3;
+/// Most bytes of one write, so that a file takes many steps.
 const MAX_WRITE_BYTES: usize = 3 * SECTOR_BYTES;
-/// Separates the random numbers for what survives a power loss from those for faults after it.
+/// Makes the random numbers that decide what survives a power loss differ from those that decide on
+/// faults after it.
 const SURVIVAL_SEED_MASK: u128 = 0x5eed;
 
 /// A fault planted on purpose, to show that the tests can fail.
@@ -32,32 +36,36 @@
     SkippedFileSync,
     /// Syncs of names do nothing.
     SkippedNameSync,
-    /// The first power loss also turns one bit of what was durable: the one fault that only a checksum shows.
+    /// The first power loss also flips one durable bit: the one fault that only a checksum detects.
     BitRot,
 }
 
-/// Which faults a disk has.
+/// The faults of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Single steps fail at random, short of a power loss.
+    /// Whether single steps fail at random without a power loss.
     pub random_faults: bool,
-    /// What the disk does wrong on purpose.
+    /// The fault that is planted on purpose.
     pub planted_fault: PlantedFault,
-    /// The step at which the power fails, counted from 1; never if there is none.
+    /// The step at which the power fails, counted from 1; `None` for never.
     pub power_loss_at: Option<u64>,
 }
 
-/// A change of names that is not durable yet. Files are named by their index.
+/// Position of a file in the list of all files that were ever created.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileIndex(usize);
+
+/// A change of names that is not durable yet.
 #[derive(Clone)]
 enum NameChange {
     Created {
         name: String,
-        file: usize,
+        file: FileIndex,
     },
     Renamed {
         from: String,
         to: String,
-        file: usize,
+        file: FileIndex,
     },
     Removed {
         name: String,
@@ -68,14 +76,15 @@
 #[derive(Clone)]
 pub struct SimulatedDisk {
     files: Vec<FileContent>,
-    /// Names that a reader sees, with the index of the file of each.
-    names: BTreeMap<String, usize>,
-    durable_names: BTreeMap<String, usize>,
-    /// Changes since the names were durable, in order.
+    /// Names as a reader sees them.
+    names: BTreeMap<String, FileIndex>,
+    /// Names that survive any power loss.
+    durable_names: BTreeMap<String, FileIndex>,
+    /// Changes since the last sync of names, in order.
     name_changes: Vec<NameChange>,
     rng: Rand64,
     faults: FaultPlan,
-    /// Steps since the power came on.
+    /// Number of steps since the power is on.
     steps: u64,
     power_lost: bool,
 }
@@ -99,12 +108,12 @@
         }
     }
 
-    /// Whether the power has failed, after which every call fails.
+    /// Whether the power has failed; after that, every call fails.
     pub fn power_lost(&self) -> bool {
         self.power_lost
     }
 
-    /// The disk as it is found once the power is on again, until it fails anew at step `power_loss_at`.
+    /// The disk after the power is on again. The next power loss is at step `power_loss_at`.
     pub fn after_power_loss(mut self, seed: u64, power_loss_at: Option<u64>) -> SimulatedDisk {
         let mut rng = Rand64::new(u128::from(seed) ^ SURVIVAL_SEED_MASK);
         for change in std::mem::take(&mut self.name_changes) {
@@ -117,7 +126,7 @@
         }
         if self.faults.planted_fault == PlantedFault::BitRot {
             self.rot_one_bit(&mut rng);
-            // Two generations survive one bad bit, not one in each.
+            // Two generations tolerate one flipped bit, not one in each of them.
             self.faults.planted_fault = PlantedFault::None;
         }
         self.faults.power_loss_at = power_loss_at;
@@ -149,27 +158,28 @@
 
     /// Flips one durable bit of one file that still has a name, if there is any.
     fn rot_one_bit(&mut self, rng: &mut Rand64) {
-        let named_files: Vec<usize> = self.durable_names.values().copied().collect();
+        let named_files: Vec<FileIndex> = self.durable_names.values().copied().collect();
         if named_files.is_empty() {
             return;
         }
         let drawn = named_files[rng.rand_u64() as usize % named_files.len()];
-        let file = &mut self.files[drawn];
+        let file = &mut self.files[drawn.0];
         let bits = file.durable_bits();
         if bits > 0 {
             file.flip_bit(rng.rand_u64() as usize % bits);
         }
     }
 
-    /// Begins one step. Returns a random number if it is to fail, which picks the kind of fault.
+    /// Begins one step. If the step is to fail, returns a random number that selects the kind of
+    /// fault.
     ///
-    /// The step at which the power fails may still be carried out, but its caller never learns of it.
+    /// The step at which the power fails may still be carried out, but its caller gets an error.
     fn begin_step(&mut self) -> io::Result<Option<u64>> {
         self.check_power()?;
         self.steps += 1;
-        let fault = self.draw_fault();
+        let drawn_fault = self.draw_fault();
         if self.faults.power_loss_at != Some(self.steps) {
-            return Ok(fault);
+            return Ok(drawn_fault);
         }
         self.power_lost = true;
         if coin(&mut self.rng) {
@@ -199,10 +209,21 @@
 
     fn file(&mut self, name: &str) -> io::Result<&mut FileContent> {
         let file = *self.names.get(name).ok_or(ErrorKind::NotFound)?;
-        Ok(&mut self.files[file])
+        Ok(&mut self.files[file.0])
     }
 }
 
+/// A write that fails, is interrupted, or writes a part of the bytes. Returns the number of bytes
+/// that it writes.
+fn faulty_write(drawn: u64, requested: usize) -> io::Result<usize> {
+    match drawn % WRITE_FAULT_KINDS {
+        0 => Err(ErrorKind::StorageFull.into()),
+        1 => Err(ErrorKind::Interrupted.into()),
+        _ => Ok(1 + (drawn / WRITE_FAULT_KINDS) as usize % requested),
+    }
+}
+
+/// True in one of two cases.
 fn coin(rng: &mut Rand64) -> bool {
     rng.rand_u64().is_multiple_of(2)
 }
@@ -219,7 +240,7 @@
             return Err(ErrorKind::StorageFull.into());
         }
         self.files.push(FileContent::default());
-        let file = self.files.len() - 1;
+        let file = FileIndex(self.files.len() - 1);
         let name = name.to_owned();
         self.names.insert(name.clone(), file);
         self.name_changes.push(NameChange::Created { name, file });
@@ -227,13 +248,11 @@
     }
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize> {
-        let mut length = bytes.len().min(MAX_WRITE_BYTES);
-        match self.begin_step()? {
-            Some(fault) if fault % 3 == 0 => return Err(ErrorKind::StorageFull.into()),
-            Some(fault) if fault % 3 == 1 => return Err(ErrorKind::Interrupted.into()),
-            Some(fault) => length = 1 + (fault as usize / 3) % length,
-            None => {}
-        }
+        let requested = bytes.len().min(MAX_WRITE_BYTES);
+        let length = match self.begin_step()? {
+            None => requested,
+            Some(drawn) => faulty_write(drawn, requested)?,
+        };
         self.file(name)?.append(&bytes[..length]);
         self.check_power()?;
         Ok(length)
--- a/crates/snapshot/src/simulated_disk/file_content.rs
+++ b/crates/snapshot/src/simulated_disk/file_content.rs
@@ -1,26 +1,26 @@
-//! Content of one file on a simulated disk: what is durable, and what a reader sees.
+//! Content of one file on a simulated disk: its durable bytes, and the bytes that a reader sees.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// A disk writes a sector whole or not at all.
+/// A disk writes a sector completely or not at all.
 pub(super) const SECTOR_BYTES: usize = 512;
 
 /// One file's content.
 #[derive(Clone, Default)]
 pub(super) struct FileContent {
-    /// What survives any power loss.
+    /// The bytes that survive any power loss.
     durable: Vec<u8>,
-    /// What a reader sees.
+    /// The bytes that a reader sees.
     visible: Vec<u8>,
-    /// Sectors written and not synced.
+    /// Sectors that were written and not synced.
     dirty: BTreeSet<usize>,
-    /// Sectors that a failed sync has given up: no later sync writes them.
+    /// Sectors that a failed sync has dropped: no later sync writes them.
     dropped: BTreeSet<usize>,
 }
 
 impl FileContent {
-    /// What a reader sees.
+    /// The bytes that a reader sees.
     pub(super) fn visible(&self) -> &[u8] {
         &self.visible
     }
@@ -30,7 +30,7 @@
         self.durable.len() * 8
     }
 
-    /// Appends bytes, of which there is at least one.
+    /// Appends at least one byte.
     pub(super) fn append(&mut self, bytes: &[u8]) {
         let start = self.visible.len();
         self.visible.extend_from_slice(bytes);
@@ -46,24 +46,24 @@
         }
     }
 
-    /// A failed sync: written sectors are marked clean and never reach the disk, so that the next sync has nothing to
-    /// do and succeeds.
+    /// A failed sync: written sectors are marked clean and never reach the disk, so that the next
+    /// sync has nothing to do and succeeds.
     pub(super) fn drop_dirty(&mut self) {
         let dirty = std::mem::take(&mut self.dirty);
         self.dropped.extend(dirty);
     }
 
-    /// The content after a power loss; `survives` is asked for each sector that was not synced.
+    /// The content after a power loss; `survives` is called for each sector that was not synced.
     pub(super) fn after_power_loss(&self, mut survives: impl FnMut() -> bool) -> FileContent {
-        let mut found = self.durable.clone();
+        let mut content = self.durable.clone();
         for sector in self.dirty.union(&self.dropped) {
             if survives() {
-                copy_range(&self.visible, &mut found, self.sector_range(*sector));
+                copy_range(&self.visible, &mut content, self.sector_range(*sector));
             }
         }
         FileContent {
-            durable: found.clone(),
-            visible: found,
+            durable: content.clone(),
+            visible: content,
             ..FileContent::default()
         }
     }
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,10 +1,12 @@
 //! Stores two generations of snapshots in one directory.
 //!
-//! A snapshot is written to a file of its own, synced, and only then takes the place of the older generation; the
-//! newer one is never touched. Whatever breaks off in between leaves one of the last two complete snapshots.
+//! A snapshot is written to a new file, synced, and only then renamed to the file of the older
+//! generation; the file of the newer generation is not touched. After a crash at any point, one of
+//! the last two complete snapshots can be read.
 
 mod quarantine;
 mod read;
+mod slot;
 
 use std::io::{self, ErrorKind};
 
@@ -17,32 +19,31 @@
 
 pub use quarantine::MAX_QUARANTINED_FILES;
 pub use read::{Opened, Quarantine, ReadError, UnusableFile, newest};
+use slot::Slot;
 
-/// The two generations.
-const SLOTS: [&str; 2] = ["memory.0", "memory.1"];
-/// A snapshot that is being written.
+/// The file of a snapshot that is being written.
 const NEW_FILE: &str = "memory.new";
-/// Interruptions in a row after which a write fails, in case a signal never stops coming.
+/// Consecutive interruptions by signals after which a write fails.
 const MAX_INTERRUPTIONS: usize = 100;
 
-/// Reads the bytes of a file.
+/// Decodes the bytes of a file.
 pub type Decoder = fn(&[u8]) -> Result<Snapshot, FormatError>;
 
-/// Why a snapshot was not saved; the last one that was is untouched.
+/// Why a snapshot was not saved. The last snapshot that was saved is unchanged.
 #[derive(Debug, Error)]
 pub enum SaveError {
     /// The new file cannot be written and synced.
     #[error("cannot write {NEW_FILE}: {0}")]
     Write(#[source] io::Error),
-    /// The new file cannot take the older generation's place.
+    /// The new file cannot be renamed to the file of the older generation.
     #[error("cannot rename {NEW_FILE} to {slot}: {source}")]
     Rename {
-        /// The older generation's file.
+        /// The file of the older generation.
         slot: &'static str,
-        /// What the disk says.
+        /// The error of the disk.
         source: io::Error,
     },
-    /// The new name cannot be made safe from a power loss.
+    /// The new name cannot be made to survive a power loss.
     #[error("cannot sync the directory: {0}")]
     SyncNames(#[source] io::Error),
 }
@@ -50,63 +51,50 @@
 /// A directory with two generations of snapshots.
 pub struct Store<D> {
     disk: D,
-    /// Index of the slot of the older generation, where the next snapshot goes.
-    next_slot: usize,
-    /// Sequence number of the last snapshot that was written or tried.
+    /// The slot of the older generation, which the next snapshot replaces.
+    next_slot: Slot,
+    /// Sequence number of the last snapshot that was saved or attempted.
     sequence: u64,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the directory: reads the newest whole snapshot, sets unreadable files aside and removes an unfinished
-    /// one.
+    /// Opens the directory: reads the newest complete snapshot, quarantines unreadable files and
+    /// removes an incomplete new file.
     pub fn open(disk: D) -> (Store<D>, Opened) {
         Store::open_with(disk, format::decode)
     }
 
-    /// The same with another decoder, for tests that show what the decoder's checks are needed for.
+    /// The same with another decoder, for tests that show why the decoder's checks are needed.
     pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, Opened) {
         let mut opened = Opened::default();
-        let mut sequences = [0, 0];
-        for (name, sequence) in SLOTS.into_iter().zip(&mut sequences) {
-            match read::read_slot(&mut disk, name, decode) {
-                None => {}
-                Some(Ok(snapshot)) => {
-                    *sequence = snapshot.sequence;
-                    opened.offer(snapshot);
-                }
-                Some(Err(error)) => {
-                    let quarantine = quarantine::set_aside(&mut disk, name, error.label());
-                    opened.unusable_files.push(UnusableFile {
-                        name: name.into(),
-                        error,
-                        quarantine,
-                    });
-                }
-            }
-        }
-        // A write that was cut short before the rename: it was never reported as saved.
+        let [first, second] =
+            Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut opened));
+        // A save that was interrupted before the rename: it was never reported as done.
         let _ = disk.remove(NEW_FILE);
-        let [first, second] = sequences;
         let store = Store {
             disk,
-            next_slot: usize::from(first > second),
+            next_slot: if first > second {
+                Slot::Second
+            } else {
+                Slot::First
+            },
             sequence: first.max(second),
         };
         (store, opened)
     }
 
-    /// Saves a snapshot and returns its length in bytes. Once this returns without an error, the snapshot survives a
-    /// power loss.
+    /// Saves a snapshot and returns its length in bytes. After this has returned without an error,
+    /// the snapshot survives a power loss.
     ///
     /// # Errors
     ///
-    /// The first step that fails; the last snapshot that was saved still survives a power loss.
+    /// The first step that failed. The last snapshot that was saved still survives a power loss.
     pub fn save(
         &mut self,
         written_at: Timestamp,
         records: Vec<Record>,
     ) -> Result<usize, SaveError> {
-        // A failed save may have reached the disk all the same, so its number is not used again.
+        // A failed save may still have reached the disk, so its number is not used again.
         self.sequence += 1;
         let bytes = format::encode(&Snapshot {
             sequence: self.sequence,
@@ -115,17 +103,18 @@
             unknown_records: 0,
         });
         if let Err(error) = self.replace_older(&bytes) {
-            // After a failed sync the file reads well from the page cache but may not be on the disk.
+            // After a failed sync the file may be readable from the page cache without being on the
+            // disk.
             let _ = self.disk.remove(NEW_FILE);
             return Err(error);
         }
-        self.next_slot = 1 - self.next_slot;
+        self.next_slot = self.next_slot.other();
         Ok(bytes.len())
     }
 
     fn replace_older(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
         self.write_new_file(bytes).map_err(SaveError::Write)?;
-        let slot = SLOTS[self.next_slot];
+        let slot = self.next_slot.file_name();
         self.disk
             .rename(NEW_FILE, slot)
             .map_err(|source| SaveError::Rename { slot, source })?;
@@ -162,18 +151,36 @@
         Ok(())
     }
 
-    /// The disk, for inspection.
+    /// The disk that the store writes to.
     pub(crate) fn disk(&self) -> &D {
         &self.disk
     }
 
-    /// Returns the disk.
+    /// Closes the store and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// Removes all files that a store has written, and nothing else. Returns how many.
+/// Reads one generation and quarantines its file if it is unreadable. Returns the sequence number
+/// of its snapshot; 0 if there is none.
+fn open_slot<D: Disk>(disk: &mut D, slot: Slot, decode: Decoder, opened: &mut Opened) -> u64 {
+    match read::read_slot(disk, slot, decode) {
+        None => 0,
+        Some(Ok(snapshot)) => {
+            let sequence = snapshot.sequence;
+            opened.offer(snapshot);
+            sequence
+        }
+        Some(Err(error)) => {
+            let file = quarantine::quarantine(disk, slot, error);
+            opened.unusable_files.push(file);
+            0
+        }
+    }
+}
+
+/// Removes all files that a store has written, and no others. Returns their number.
 ///
 /// # Errors
 ///
@@ -181,8 +188,8 @@
 pub fn clear<D: Disk>(disk: &mut D) -> io::Result<usize> {
     let mut removed = 0;
     for name in disk.names()? {
-        let is_snapshot = SLOTS.contains(&name.as_str()) || name == NEW_FILE;
-        if is_snapshot || quarantine::is_quarantined(&name) {
+        let is_snapshot = Slot::BOTH.iter().any(|slot| slot.file_name() == name);
+        if is_snapshot || name == NEW_FILE || quarantine::is_quarantined(&name) {
             disk.remove(&name)?;
             removed += 1;
         }
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -1,51 +1,69 @@
-//! Renames files that cannot be read, so that they can be inspected, and limits how many of them there are.
+//! Renames files that cannot be read, so that they can be inspected, and limits their number.
 
 use std::io;
 
 use crate::disk::Disk;
 
-use super::Quarantine;
+use super::{Quarantine, ReadError, Slot, UnusableFile};
 
-/// Prefix of the names of files set aside; a rising number, a dot and the reason follow.
+/// Prefix of the names of quarantined files; a rising number, a dot and the reason follow.
 const PREFIX: &str = "set-aside.";
-/// Most files set aside; the oldest are removed first, so that repeated faults do not fill the disk.
+/// Most quarantined files. The oldest are removed first, so that repeated failures do not fill the
+/// disk.
 pub const MAX_QUARANTINED_FILES: usize = 4;
 
-/// Whether a file of this name was set aside.
+/// Whether a file of this name is a quarantined file.
 pub(super) fn is_quarantined(name: &str) -> bool {
     name.starts_with(PREFIX)
 }
 
-/// Renames the file to a name that says why it is not used.
-pub(super) fn set_aside<D: Disk>(disk: &mut D, name: &str, label: &str) -> Quarantine {
-    match rename(disk, name, label) {
-        Ok(new_name) => Quarantine::SetAside(new_name),
-        Err(error) => Quarantine::Failed(error),
+/// Renames the slot's file to a name with the reason for which it cannot be used.
+pub(super) fn quarantine<D: Disk>(disk: &mut D, slot: Slot, error: ReadError) -> UnusableFile {
+    let name = slot.file_name();
+    let quarantine = match rename(disk, name, error.label()) {
+        Ok(new_name) => Quarantine::RenamedTo(new_name),
+        Err(rename_error) => Quarantine::Failed(rename_error),
+    };
+    UnusableFile {
+        name: name.into(),
+        error,
+        quarantine,
     }
 }
 
+/// A file in quarantine.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QuarantinedFile<'a> {
+    /// The number in its name: the lower, the older.
+    number: u64,
+    name: &'a str,
+}
+
 fn rename<D: Disk>(disk: &mut D, name: &str, label: &str) -> io::Result<String> {
     let names = disk.names()?;
-    let mut quarantined: Vec<(u64, &String)> = names
+    let mut quarantined: Vec<QuarantinedFile<'_>> = names
         .iter()
-        .filter_map(|name| Some((number(name)?, name)))
+        .filter_map(|name| {
+            let number = parse_number(name)?;
+            Some(QuarantinedFile { number, name })
+        })
         .collect();
     quarantined.sort_unstable();
     let next_number = quarantined
         .last()
-        .map_or(1, |(number, _)| number.wrapping_add(1));
+        .map_or(1, |newest| newest.number.wrapping_add(1));
     let new_name = format!("{PREFIX}{next_number}.{label}");
     let excess = (quarantined.len() + 1).saturating_sub(MAX_QUARANTINED_FILES);
-    for (_, oldest) in &quarantined[..excess] {
-        disk.remove(oldest)?;
+    for oldest in &quarantined[..excess] {
+        disk.remove(oldest.name)?;
     }
     disk.rename(name, &new_name)?;
     disk.sync_names()?;
     Ok(new_name)
 }
 
-/// The number in the name of a file that was set aside; none for other names.
-fn number(name: &str) -> Option<u64> {
+/// The number in the name of a quarantined file; `None` for other names.
+fn parse_number(name: &str) -> Option<u64> {
     let number = name.strip_prefix(PREFIX)?.split('.').next()?;
     number.parse().ok()
 }
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -1,4 +1,4 @@
-//! Reading the two generations: the newest whole snapshot, and why a file is not used.
+//! Reads the two generations: the newest complete snapshot, and why a file cannot be used.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -8,21 +8,21 @@
 use crate::disk::Disk;
 use crate::format::{self, FormatError, Snapshot};
 
-use super::{Decoder, SLOTS};
+use super::{Decoder, Slot};
 
-/// Why a file is not used.
+/// Why a file cannot be used.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The disk does not give its bytes.
+    /// Reading its bytes failed.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// Its bytes are no snapshot.
+    /// Its bytes are not a snapshot.
     #[error(transparent)]
     Format(#[from] FormatError),
 }
 
 impl ReadError {
-    /// One word for the reason, used in the name of the file that is set aside.
+    /// One word for the reason, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             ReadError::Unreadable(_) => "unreadable",
@@ -31,54 +31,58 @@
     }
 }
 
-/// What became of a file that is not used.
+/// Whether an unusable file was moved out of the way.
 #[derive(Debug)]
 pub enum Quarantine {
-    /// The directory was only inspected.
+    /// The directory was only inspected, so the file stays.
     NotAttempted,
-    /// It was renamed to this.
-    SetAside(String),
-    /// It could not be renamed.
+    /// The file was renamed to this name.
+    RenamedTo(String),
+    /// The file could not be renamed.
     Failed(io::Error),
 }
 
-/// A file that is not used; displayed as a line for operators.
+/// A file that cannot be used; displayed as a line for operators.
 #[derive(Debug)]
 pub struct UnusableFile {
-    /// The name that it had.
+    /// Its name before it was quarantined.
     pub name: String,
-    /// Why it is not used.
+    /// Why it cannot be used.
     pub error: ReadError,
-    /// What became of it.
+    /// Whether it was moved out of the way.
     pub quarantine: Quarantine,
 }
 
 impl fmt::Display for UnusableFile {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let UnusableFile { name, error, .. } = self;
         match &self.quarantine {
-            Quarantine::NotAttempted => write!(f, "{name}: {error}"),
-            Quarantine::SetAside(new_name) => {
-                write!(f, "{name} is not read: {error}; now {new_name}")
-            }
-            Quarantine::Failed(why) => {
-                write!(f, "{name} is not read: {error}; left where it is, {why}")
+            Quarantine::NotAttempted => write!(formatter, "{name}: {error}"),
+            Quarantine::RenamedTo(new_name) => {
+                write!(
+                    formatter,
+                    "{name} cannot be read: {error}; renamed to {new_name}"
+                )
             }
+            Quarantine::Failed(rename_error) => write!(
+                formatter,
+                "{name} cannot be read: {error}; renaming it failed: {rename_error}"
+            ),
         }
     }
 }
 
-/// What was found in a directory.
+/// The usable and unusable files of a directory.
 #[derive(Debug, Default)]
 pub struct Opened {
-    /// The newest whole snapshot, if there is any.
+    /// The newest complete snapshot, if there is any.
     pub snapshot: Option<Snapshot>,
-    /// Files that are not used.
+    /// Files that cannot be used.
     pub unusable_files: Vec<UnusableFile>,
 }
 
 impl Opened {
-    /// Keeps the snapshot if it is newer than the one so far.
+    /// Keeps the snapshot if it is newer than the newest one so far.
     pub(super) fn offer(&mut self, snapshot: Snapshot) {
         let is_newer = self
             .snapshot
@@ -90,15 +94,16 @@
     }
 }
 
-/// Finds the newest whole snapshot in a directory, and the files that are not whole. Changes nothing.
+/// Finds the newest complete snapshot in a directory, and the files that cannot be used. Changes
+/// nothing.
 pub fn newest<D: Disk>(disk: &mut D) -> Opened {
     let mut opened = Opened::default();
-    for name in SLOTS {
-        match read_slot(disk, name, format::decode) {
+    for slot in Slot::BOTH {
+        match read_slot(disk, slot, format::decode) {
             None => {}
             Some(Ok(snapshot)) => opened.offer(snapshot),
             Some(Err(error)) => opened.unusable_files.push(UnusableFile {
-                name: name.into(),
+                name: slot.file_name().into(),
                 error,
                 quarantine: Quarantine::NotAttempted,
             }),
@@ -107,13 +112,13 @@
     opened
 }
 
-/// Reads one generation; none if there is no such file.
+/// Reads one generation; `None` if its file does not exist.
 pub(super) fn read_slot<D: Disk>(
     disk: &mut D,
-    name: &str,
+    slot: Slot,
     decode: Decoder,
 ) -> Option<Result<Snapshot, ReadError>> {
-    match disk.read(name, format::READ_LIMIT) {
+    match disk.read(slot.file_name(), format::READ_LIMIT) {
         Ok(bytes) => Some(decode(&bytes).map_err(ReadError::from)),
         Err(error) if error.kind() == ErrorKind::NotFound => None,
         Err(error) => Some(Err(error.into())),
