--- a/crates/snapshot/src/expiry/restore.rs
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -112,7 +112,7 @@
         taken_at: record.observed_at.min(now),
         outcomes: weight * record.outcomes,
         failures: weight * record.failures,
-        spread: record.spread,
+        dispersion: record.dispersion,
         endpoints: record.endpoints,
         attempts_per_second: record.attempts_per_second,
     })
--- a/crates/snapshot/src/records/fleet.rs
+++ b/crates/snapshot/src/records/fleet.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use tidescale_policy::snapshot::{ClassLatency, RouteLatency, ZoneSlowdownSums};
-use tidescale_policy::statistics::{Spread, WeightedSum};
+use tidescale_policy::statistics::{Dispersion, WeightedSum};
 use tidescale_policy::types::Timestamp;
 
 use super::stored::{array, unix_micros, zone_pair};
@@ -54,8 +54,8 @@
     #[serde(rename = "hits")]
     pub failures: f64,
     /// How unevenly both are spread over the endpoints.
-    #[serde(with = "array")]
-    pub spread: Spread,
+    #[serde(rename = "spread", with = "array")]
+    pub dispersion: Dispersion,
     /// Number of endpoints in service.
     #[serde(rename = "machines")]
     pub endpoints: usize,
--- a/crates/snapshot/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use tidescale_policy::snapshot::{ByZone, ClassLatency, RouteLatency};
-use tidescale_policy::statistics::{Spread, WeightedSum};
+use tidescale_policy::statistics::{Dispersion, WeightedSum};
 use tidescale_policy::types::{BuildNumber, StageIndex, Timestamp};
 use tidescale_snapshot::crash_history::records_of;
 use tidescale_snapshot::directory::Directory;
@@ -126,7 +126,7 @@
         observed_at: OBSERVED_AT,
         outcomes: 120.0,
         failures: 3.0,
-        spread: Spread {
+        dispersion: Dispersion {
             failures_squared: 1.0,
             failures_times_outcomes: 2.0,
             outcomes_squared: 3.0,
--- a/crates/snapshot/tests/compatibility.rs
+++ b/crates/snapshot/tests/compatibility.rs
@@ -5,7 +5,7 @@
 
 use common::{at, weighted_sum};
 use tidescale_policy::snapshot::{ByZone, ClassLatency, RouteLatency};
-use tidescale_policy::statistics::{Spread, WeightedSum};
+use tidescale_policy::statistics::{Dispersion, WeightedSum};
 use tidescale_policy::types::{BuildNumber, StageIndex, Timestamp};
 use tidescale_snapshot::format::{Snapshot, decode, encode};
 use tidescale_snapshot::records::{
@@ -393,7 +393,7 @@
             observed_at: at(OBSERVED_MICROS - 60_000_000),
             outcomes: 1_812.4,
             failures: 9.1,
-            spread: Spread {
+            dispersion: Dispersion {
                 failures_squared: 4.7,
                 failures_times_outcomes: 812.3,
                 outcomes_squared: 98_765.4,
--- a/crates/snapshot/tests/expiry.rs
+++ b/crates/snapshot/tests/expiry.rs
@@ -281,7 +281,7 @@
     assert_eq!(after_half_life.taken_at, OBSERVED_AT);
     assert_eq!(after_half_life.outcomes, 60.0);
     assert_eq!(after_half_life.failures, 1.5);
-    assert_eq!(after_half_life.spread, record.spread);
+    assert_eq!(after_half_life.dispersion, record.dispersion);
     assert_eq!(after_half_life.endpoints, 9);
     assert_eq!(after_half_life.attempts_per_second, 80.0);
     assert_eq!(after_expiry, None);
