--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use tidescale_policy::settings::Idempotency;
-use tidescale_policy::types::Timestamp;
+use tidescale_policy::types::{RequestId, Timestamp};
 
 use crate::parameters::{REQUEST_DEADLINE, ROUTES};
 use crate::random_stream::{RandomStream, stream};
@@ -92,7 +92,7 @@
     /// By instance, requests a second.
     rates: Vec<f64>,
     /// Requests of the last few seconds, by number.
-    requests: BTreeMap<u64, OpenRequest>,
+    requests: BTreeMap<RequestId, OpenRequest>,
 }
 
 impl Clients {
@@ -162,7 +162,7 @@
     }
 
     /// Keeps a request that was sent under this number.
-    pub(crate) fn insert(&mut self, number: u64, request: ClientRequest) {
+    pub(crate) fn insert(&mut self, number: RequestId, request: ClientRequest) {
         let open = OpenRequest {
             request,
             attempts: 0,
@@ -172,7 +172,7 @@
     }
 
     /// Counts an attempt of a request; none where the request is forgotten.
-    pub(crate) fn start_attempt(&mut self, number: u64) -> Option<StartedAttempt> {
+    pub(crate) fn start_attempt(&mut self, number: RequestId) -> Option<StartedAttempt> {
         let open = self.requests.get_mut(&number)?;
         let attempt_index = open.attempts;
         open.attempts += 1;
@@ -183,7 +183,11 @@
     }
 
     /// Takes the end of an attempt; none where the request is forgotten.
-    pub(crate) fn end_attempt(&mut self, number: u64, succeeded: bool) -> Option<AttemptEffect> {
+    pub(crate) fn end_attempt(
+        &mut self,
+        number: RequestId,
+        succeeded: bool,
+    ) -> Option<AttemptEffect> {
         let open = self.requests.get_mut(&number)?;
         let answers_request = succeeded && !open.finished;
         open.finished |= succeeded;
@@ -195,7 +199,7 @@
     }
 
     /// Ends a request without an answer. Some clients send theirs once more, where that does no harm.
-    pub(crate) fn give_up(&mut self, number: u64) -> Option<PlannedRetry> {
+    pub(crate) fn give_up(&mut self, number: RequestId) -> Option<PlannedRetry> {
         let open = self.requests.get_mut(&number)?;
         open.finished = true;
         let request = open.request;
--- a/crates/simulation/src/decision_digest.rs
+++ b/crates/simulation/src/decision_digest.rs
@@ -7,7 +7,7 @@
 
 use tidescale_policy::host::DecisionSink;
 use tidescale_policy::types::{
-    Ballot, EvidenceTest, RollbackVerdict, Timestamp, Vote, whole_micros,
+    AttemptId, Ballot, EvidenceTest, RequestId, RollbackVerdict, Timestamp, Vote, whole_micros,
 };
 
 use crate::decisions::InstanceDecisions;
@@ -51,37 +51,41 @@
 }
 
 impl DecisionSink for DigestedDecisions<'_, '_> {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
         let endpoint_number = self.number_of(endpoint);
         self.add(&[
             decision::ATTEMPT,
-            request,
+            attempt.request.get(),
             endpoint_number,
             deadline.as_micros(),
         ]);
-        self.decisions.start_attempt(request, endpoint, deadline);
+        self.decisions.start_attempt(attempt, endpoint, deadline);
     }
 
-    fn cancel_attempt(&mut self, request: u64, attempt_index: usize) {
-        self.add(&[decision::CANCEL, request, attempt_index as u64]);
-        self.decisions.cancel_attempt(request, attempt_index);
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.add(&[
+            decision::CANCEL,
+            attempt.request.get(),
+            attempt.index.get() as u64,
+        ]);
+        self.decisions.cancel_attempt(attempt);
     }
 
-    fn reject_request(&mut self, request: u64, retry_after: Duration) {
-        self.add(&[decision::REJECT, request, whole_micros(retry_after)]);
+    fn reject_request(&mut self, request: RequestId, retry_after: Duration) {
+        self.add(&[decision::REJECT, request.get(), whole_micros(retry_after)]);
         self.decisions.reject_request(request, retry_after);
     }
 
-    fn fail_request(&mut self, request: u64) {
-        self.add(&[decision::FAIL, request]);
+    fn fail_request(&mut self, request: RequestId) {
+        self.add(&[decision::FAIL, request.get()]);
         self.decisions.fail_request(request);
     }
 
     fn cast_vote(&mut self, ballot: Ballot) {
         self.add(&[
             decision::VOTE,
-            u64::from(ballot.build),
-            u64::from(ballot.stage),
+            u64::from(ballot.build.get()),
+            u64::from(ballot.stage.get()),
             number_of_vote(ballot.vote),
         ]);
         self.decisions.cast_vote(ballot);
@@ -110,8 +114,8 @@
     fn report_rollback_verdict(&mut self, verdict: &RollbackVerdict) {
         self.add(&[
             decision::ROLLBACK_VERDICT,
-            u64::from(verdict.build),
-            u64::from(verdict.stage),
+            u64::from(verdict.build.get()),
+            u64::from(verdict.stage.get()),
             number_of_test(verdict.test),
             verdict.ejected_endpoints as u64,
         ]);
--- a/crates/simulation/src/decisions.rs
+++ b/crates/simulation/src/decisions.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use tidescale_policy::host::DecisionSink;
-use tidescale_policy::types::{AttemptOutcome, Ballot, RollbackVerdict, Timestamp};
+use tidescale_policy::types::{
+    AttemptId, AttemptOutcome, Ballot, RequestId, RollbackVerdict, Timestamp,
+};
 
 use crate::attempts::Attempt;
 use crate::environment::Environment;
@@ -49,7 +51,8 @@
 }
 
 impl DecisionSink for InstanceDecisions<'_, '_> {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
+        let request = attempt.request;
         let environment = &mut **self.environment.borrow_mut();
         let Some(started) = environment.clients.start_attempt(request) else {
             return;
@@ -80,13 +83,13 @@
     }
 
     /// An endpoint of the model finishes what it has begun.
-    fn cancel_attempt(&mut self, _request: u64, _attempt_index: usize) {}
+    fn cancel_attempt(&mut self, _attempt: AttemptId) {}
 
-    fn reject_request(&mut self, request: u64, _retry_after: Duration) {
+    fn reject_request(&mut self, request: RequestId, _retry_after: Duration) {
         self.environment.borrow_mut().give_up_request(request);
     }
 
-    fn fail_request(&mut self, request: u64) {
+    fn fail_request(&mut self, request: RequestId) {
         self.environment.borrow_mut().give_up_request(request);
     }
 
--- a/crates/simulation/src/delivery.rs
+++ b/crates/simulation/src/delivery.rs
@@ -2,11 +2,10 @@
 
 use std::cell::RefCell;
 
-use tidescale_policy::Balancer;
-use tidescale_policy::host::EventSource;
 use tidescale_policy::types::{
-    AttemptOutcome, AttemptResult, EndpointEntry, IncomingRequest, LoadReport,
+    AttemptId, AttemptOutcome, AttemptResult, EndpointEntry, IncomingRequest, LoadReport,
 };
+use tidescale_policy::{Balancer, EventSource};
 
 use crate::clients::ClientRequest;
 use crate::environment::Environment;
@@ -105,7 +104,7 @@
         });
         let key = self.environment.idempotency_key(number);
         let request = IncomingRequest {
-            route,
+            route: route.into(),
             idempotency_key: key.as_deref(),
             time_remaining: REQUEST_DEADLINE,
             cost_hint: None,
@@ -142,8 +141,8 @@
             request_finished: effect.request_finished,
             load,
         };
-        self.policy
-            .on_attempt_result(finished.request, finished.attempt_index, result);
+        let attempt = AttemptId::new(finished.request, finished.attempt_index.into());
+        self.policy.on_attempt_result(attempt, result);
     }
 
     fn is_candidate_failure(&self, finished: &AttemptFinished) -> bool {
@@ -198,7 +197,7 @@
             zone: &zone,
             cell: 0,
             hardware_class: &hardware_class,
-            build: endpoint.build,
+            build: endpoint.build.into(),
             state: endpoint.state,
             started_at: endpoint.started_at,
         });
--- a/crates/simulation/src/environment.rs
+++ b/crates/simulation/src/environment.rs
@@ -1,6 +1,6 @@
 //! The state of a trial around the instances, made of the other modules' parts, and what moves it from tick to tick.
 
-use tidescale_policy::types::{EndpointState, EvidenceTest, RolloutPhase, Timestamp};
+use tidescale_policy::types::{EndpointState, EvidenceTest, RequestId, RolloutPhase, Timestamp};
 
 use crate::attempts::AttemptModel;
 use crate::case::{SettingsProfile, TrialCase};
@@ -131,8 +131,8 @@
     }
 
     /// Takes a request from a client and returns its number.
-    pub(crate) fn open_request(&mut self, request: ClientRequest) -> u64 {
-        let number = FIRST_REQUEST_NUMBER + self.network.queue.take_number();
+    pub(crate) fn open_request(&mut self, request: ClientRequest) -> RequestId {
+        let number = RequestId::new(FIRST_REQUEST_NUMBER + self.network.queue.take_number());
         if !request.is_retry {
             let weight = ROUTES[request.route].priority_weight;
             self.served_weight.add_offered(request.arrived_at, weight);
@@ -142,15 +142,15 @@
     }
 
     /// The idempotency key of a request, where the settings bind keys to a build.
-    pub(crate) fn idempotency_key(&self, request: u64) -> Option<String> {
+    pub(crate) fn idempotency_key(&self, request: RequestId) -> Option<String> {
         match self.case.profile {
             SettingsProfile::Standard => None,
-            SettingsProfile::Strict => Some(format!("key{}", request % IDEMPOTENCY_KEYS)),
+            SettingsProfile::Strict => Some(format!("key{}", request.get() % IDEMPOTENCY_KEYS)),
         }
     }
 
     /// Ends a request without an answer; its client may send it once more.
-    pub(crate) fn give_up_request(&mut self, request: u64) {
+    pub(crate) fn give_up_request(&mut self, request: RequestId) {
         let Some(retry) = self.clients.give_up(request) else {
             return;
         };
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -3,7 +3,9 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use tidescale_policy::types::{AttemptOutcome, RolloutPhase, RolloutStatus, Timestamp, VoteResult};
+use tidescale_policy::types::{
+    AttemptOutcome, RequestId, RolloutPhase, RolloutStatus, Timestamp, VoteResult,
+};
 
 use crate::fleet::Replacement;
 
@@ -54,7 +56,7 @@
 /// The end of an attempt.
 pub(crate) struct AttemptFinished {
     /// The request's number.
-    pub(crate) request: u64,
+    pub(crate) request: RequestId,
     /// Index among the request's attempts.
     pub(crate) attempt_index: usize,
     /// Index of the endpoint.
@@ -88,8 +90,8 @@
     /// As the policy gets it at this time.
     pub(crate) fn status(&self, now: Timestamp) -> RolloutStatus {
         RolloutStatus {
-            build: self.build,
-            stage: self.stage,
+            build: self.build.into(),
+            stage: self.stage.into(),
             phase: self.phase,
             traffic_cap: self.traffic_cap,
             age: now - self.since,
--- a/crates/simulation/src/rollout.rs
+++ b/crates/simulation/src/rollout.rs
@@ -113,11 +113,11 @@
         ballot: Ballot,
         now: Timestamp,
     ) -> VoteResult {
-        let stage_matches = ballot.vote == Vote::RollBack || ballot.stage == self.stage;
-        if ballot.build != newest_build(now) || !stage_matches {
+        let stage_matches = ballot.vote == Vote::RollBack || ballot.stage.get() == self.stage;
+        if ballot.build.get() != newest_build(now) || !stage_matches {
             return VoteResult::Superseded;
         }
-        self.count_vote(instance, ballot.vote, ballot.stage, now);
+        self.count_vote(instance, ballot.vote, ballot.stage.get(), now);
         VoteResult::Accepted
     }
 
