--- a/crates/proxy/src/clients/serving.rs
+++ b/crates/proxy/src/clients/serving.rs
@@ -213,7 +213,7 @@
         };
         let statement = &accepted.statement;
         let request = IncomingRequest {
-            route: accepted.route,
+            route: accepted.route.into(),
             idempotency_key: Some(statement.code),
             time_remaining: statement.wait.saturating_sub(context.now - arrived_at),
             cost_hint: None,
@@ -221,7 +221,7 @@
         let pending = accepted.to_pending(key, text, context);
         if let Some(number) = self.requests.insert(pending) {
             client.state = ClientState::AwaitingResponse { request: number };
-            policy.on_request(number, request);
+            policy.on_request(number.into(), request);
         }
     }
 
@@ -369,7 +369,7 @@
     fn forget_client(&mut self, request: u64, policy: &mut Balancer) {
         if let Some(pending) = self.requests.get_mut(request) {
             pending.client = None;
-            policy.on_client_disconnected(request);
+            policy.on_client_disconnected(request.into());
             self.requests.remove_if_finished(request);
         }
     }
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -81,7 +81,7 @@
     pub fn process(&self) -> Option<ProcessIdentity> {
         (self.state != ListedState::Removed).then(|| ProcessIdentity {
             address: self.address,
-            build: self.build,
+            build: self.build.into(),
             started_at: self.started_at(),
         })
     }
@@ -99,7 +99,7 @@
             zone: &self.zone,
             cell: self.cell,
             hardware_class: &self.hardware_class,
-            build: self.build,
+            build: self.build.into(),
             state: match self.state {
                 ListedState::Ready => EndpointState::Ready,
                 ListedState::Draining => EndpointState::Draining,
--- a/crates/proxy/src/proxy/decisions.rs
+++ b/crates/proxy/src/proxy/decisions.rs
@@ -5,7 +5,7 @@
 
 use slog::info;
 use tidescale_policy::host::DecisionSink;
-use tidescale_policy::types::{Ballot, RollbackVerdict, Timestamp};
+use tidescale_policy::types::{AttemptId, Ballot, RequestId, RollbackVerdict, Timestamp};
 
 use super::Proxy;
 use crate::connection::{Component, Owner};
@@ -18,10 +18,10 @@
 pub(crate) struct Decisions<'a>(pub(crate) &'a RefCell<Proxy>);
 
 impl DecisionSink for Decisions<'_> {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
         let proxy = &mut *self.0.borrow_mut();
         proxy.upstream.start_attempt(
-            request,
+            attempt.request.get(),
             endpoint,
             deadline,
             &mut proxy.context,
@@ -29,29 +29,29 @@
         );
     }
 
-    fn cancel_attempt(&mut self, request: u64, attempt_index: usize) {
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
         let proxy = &mut *self.0.borrow_mut();
         proxy.upstream.cancel_attempt(
-            request,
-            attempt_index,
+            attempt.request.get(),
+            attempt.index.get(),
             &mut proxy.context,
             &mut proxy.clients,
         );
     }
 
-    fn reject_request(&mut self, request: u64, retry_after: Duration) {
+    fn reject_request(&mut self, request: RequestId, retry_after: Duration) {
         let clients = &mut self.0.borrow_mut().clients;
-        clients.reject_request(request, retry_after);
+        clients.reject_request(request.get(), retry_after);
     }
 
-    fn fail_request(&mut self, request: u64) {
-        self.0.borrow_mut().clients.fail_request(request);
+    fn fail_request(&mut self, request: RequestId) {
+        self.0.borrow_mut().clients.fail_request(request.get());
     }
 
     fn cast_vote(&mut self, ballot: Ballot) {
         let proxy = &mut *self.0.borrow_mut();
         info!(proxy.context.log, "vote";
-            "build" => ballot.build, "stage" => ballot.stage, "vote" => ?ballot.vote);
+            "build" => ballot.build.get(), "stage" => ballot.stage.get(), "vote" => ?ballot.vote);
         proxy.votes.cast_vote(ballot, &mut proxy.context);
     }
 
@@ -77,7 +77,7 @@
     fn report_rollback_verdict(&mut self, verdict: &RollbackVerdict) {
         let round = |value: f64| format!("{value:.2}");
         info!(self.0.borrow().context.log, "verdict: to go back";
-            "build" => verdict.build, "stage" => verdict.stage, "test" => explain::test_name(verdict.test),
+            "build" => verdict.build.get(), "stage" => verdict.stage.get(), "test" => explain::test_name(verdict.test),
             "new_hits" => round(verdict.candidate.failures), "new_outcomes" => round(verdict.candidate.outcomes),
             "old_hits" => round(verdict.baseline.failures), "old_outcomes" => round(verdict.baseline.outcomes),
             "recalled" => round(verdict.restored_outcomes), "score" => round(verdict.score),
--- a/crates/proxy/src/proxy/events.rs
+++ b/crates/proxy/src/proxy/events.rs
@@ -2,8 +2,7 @@
 
 use std::cell::RefCell;
 
-use tidescale_policy::Balancer;
-use tidescale_policy::host::EventSource;
+use tidescale_policy::{Balancer, EventSource};
 
 use super::Proxy;
 use crate::config::Config;
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -78,8 +78,8 @@
     /// Notifies the policy.
     pub fn apply(&self, policy: &mut Balancer) {
         policy.on_rollout_status(RolloutStatus {
-            build: self.build,
-            stage: self.stage,
+            build: self.build.into(),
+            stage: self.stage.into(),
             phase: self.phase.into(),
             traffic_cap: self.traffic_cap,
             age: age(self.age_ms),
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -3,10 +3,10 @@
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
     EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RolloutRecord,
-    RouteRecord, SnapshotSink,
+    RouteRecord, SnapshotSink, ZoneSlowdownSums,
 };
-use tidescale_policy::statistics::CountKey;
-use tidescale_policy::types::{EndpointState, Timestamp};
+use tidescale_policy::statistics::OutcomeKey;
+use tidescale_policy::types::{BuildNumber, EndpointIndex, EndpointState, Timestamp};
 use tidescale_snapshot::records::{self, ListedState, Record, ReportedLoad};
 
 use super::directory::EndpointDirectory;
@@ -18,18 +18,18 @@
 #[derive(Clone, Copy)]
 enum Cursor {
     /// With the endpoint of this index.
-    Endpoints(usize),
+    Endpoints(EndpointIndex),
     /// With the outcomes at this position, as the policy names it.
-    Outcomes(CountKey),
+    Outcomes(OutcomeKey),
     /// With all that is neither.
     Rest,
 }
 
 impl Cursor {
-    const START: Cursor = Cursor::Endpoints(0);
-    const FIRST_OUTCOMES: Cursor = Cursor::Outcomes(CountKey {
-        build: 0,
-        endpoint: 0,
+    const START: Cursor = Cursor::Endpoints(EndpointIndex::new(0));
+    const FIRST_OUTCOMES: Cursor = Cursor::Outcomes(OutcomeKey {
+        build: BuildNumber::new(0),
+        endpoint: EndpointIndex::new(0),
     });
 }
 
@@ -127,7 +127,7 @@
             observed_at: self.now,
             process,
             hardware_class: record.hardware_class.into(),
-            slowdown: record.slowdown,
+            slowdown: record.slowdown.into(),
             reported_load: ReportedLoad {
                 in_flight: record.reported_load,
                 reported_at: record.reported_at,
@@ -142,9 +142,9 @@
         let stored = records::HardwareClassRecord {
             observed_at: self.now,
             name: record.name.into(),
-            load: record.load.unwrap_or_default(),
-            slowdown: record.slowdown.unwrap_or_default(),
-            baseline: record.baseline.unwrap_or_default(),
+            load: record.load.unwrap_or_default().into(),
+            slowdown: record.slowdown.unwrap_or_default().into(),
+            baseline: record.baseline.unwrap_or_default().into(),
         };
         self.records.push(Record::HardwareClass(stored));
     }
@@ -153,7 +153,7 @@
         let stored = records::RouteRecord {
             observed_at: self.now,
             route: record.route.unwrap_or_default().into(),
-            baseline: record.baseline,
+            baseline: record.baseline.into(),
         };
         self.records.push(Record::Route(stored));
     }
@@ -165,17 +165,17 @@
         let stored = records::OutcomeRecord {
             observed_at: self.now,
             process,
-            build: record.build,
+            build: record.build.get(),
             outcomes: record.outcomes.into(),
             failures: record.failures.into(),
         };
         self.records.push(Record::Outcomes(stored));
     }
 
-    fn rejected_build(&mut self, build: u32, rejected_at: Timestamp) {
+    fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
         let stored = records::RejectedBuildRecord {
             observed_at: rejected_at,
-            build,
+            build: build.get(),
         };
         self.records.push(Record::RejectedBuild(stored));
     }
@@ -185,26 +185,26 @@
             observed_at: record.taken_at,
             outcomes: record.outcomes,
             failures: record.failures,
-            spread: record.spread,
+            spread: record.dispersion.into(),
             endpoints: record.endpoints,
             attempts_per_second: record.attempts_per_second,
         };
         self.records.push(Record::FleetBaseline(stored));
     }
 
-    fn zones(&mut self, slowdowns: [[f64; 2]; 2]) {
+    fn zones(&mut self, sums: ZoneSlowdownSums) {
         let stored = records::ZonesRecord {
             observed_at: self.now,
-            slowdowns,
+            slowdowns: [sums.own.into(), sums.other.into()],
         };
         self.records.push(Record::Zones(stored));
     }
 
-    fn key_build(&mut self, key: &str, build: u32) {
+    fn key_build(&mut self, key: &str, build: BuildNumber) {
         let stored = records::KeyBuildRecord {
             observed_at: self.now,
             key: key.into(),
-            build,
+            build: build.get(),
         };
         self.records.push(Record::KeyBuild(stored));
     }
@@ -212,8 +212,8 @@
     fn rollout(&mut self, record: RolloutRecord) {
         let stored = records::RolloutRecord {
             observed_at: self.now,
-            build: record.build,
-            stage: record.stage,
+            build: record.build.get(),
+            stage: record.stage.get(),
             phase: record.phase.into(),
             traffic_cap: record.traffic_cap,
             since: record.since,
--- a/crates/proxy/src/snapshot_writer/directory.rs
+++ b/crates/proxy/src/snapshot_writer/directory.rs
@@ -22,7 +22,7 @@
         Some(Process {
             endpoint: endpoint.into(),
             address: identity.address.to_string(),
-            build: identity.build,
+            build: identity.build.get(),
             started_at: identity.started_at.unwrap_or(Timestamp::ZERO),
         })
     }
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -2,9 +2,9 @@
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
-    FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RouteRecord,
+    ByZone, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RouteRecord,
 };
-use tidescale_policy::types::{self, Timestamp};
+use tidescale_policy::types::{self, BuildNumber, Timestamp};
 use tidescale_snapshot::expiry::{self, ProcessMatch};
 use tidescale_snapshot::format::Snapshot;
 use tidescale_snapshot::records::{self, Process, Record, RolloutPhase};
@@ -35,13 +35,13 @@
 
 /// Whether the build that was under evaluation at the time still is.
 fn rollout_continues(snapshot: &Snapshot, policy: &Balancer) -> bool {
-    let Some(current) = policy.rollout else {
+    let Some(current) = policy.rollout() else {
         return false;
     };
     current.phase == types::RolloutPhase::Canary
         && snapshot.records.iter().any(|record| {
             matches!(record, Record::Rollout(stored)
-                if stored.build == current.build && stored.phase == RolloutPhase::Canary)
+                if BuildNumber::new(stored.build) == current.build && stored.phase == RolloutPhase::Canary)
         })
 }
 
@@ -68,16 +68,19 @@
             }
             Record::RejectedBuild(record) if counts => {
                 self.policy
-                    .restore_rejected_build(record.build, record.observed_at);
+                    .restore_rejected_build(record.build.into(), record.observed_at);
                 true
             }
             Record::Zones(record) if counts => {
-                let weighted = record.slowdowns.map(|zone| zone.map(|sum| sum * weight));
-                self.policy.restore_zones(weighted);
+                let [own, other] = record
+                    .slowdowns
+                    .map(|zone| zone.map(|sum| sum * weight).into());
+                self.policy.restore_zones(ByZone { own, other });
                 true
             }
             Record::KeyBuild(record) if counts => {
-                self.policy.restore_key_build(&record.key, record.build);
+                self.policy
+                    .restore_key_build(&record.key, record.build.into());
                 true
             }
             // Stored for starts without discovery.
@@ -98,7 +101,7 @@
         };
         self.policy.restore_endpoint(
             &record.process.endpoint,
-            restored.slowdown,
+            restored.slowdown.map(Into::into),
             restored.ejected,
         );
         true
@@ -111,7 +114,7 @@
         };
         self.policy.restore_outcomes(OutcomeRecord {
             endpoint: &record.process.endpoint,
-            build: record.build,
+            build: record.build.into(),
             outcomes: &restored.outcomes,
             failures: &restored.failures,
         });
@@ -123,7 +126,10 @@
             return false;
         };
         let route = Some(record.route.as_str()).filter(|route| !route.is_empty());
-        self.policy.restore_route(RouteRecord { route, baseline });
+        self.policy.restore_route(RouteRecord {
+            route,
+            baseline: baseline.into(),
+        });
         true
     }
 
@@ -131,9 +137,9 @@
         let restored = expiry::restore_hardware_class(record, self.now);
         self.policy.restore_hardware_class(HardwareClassRecord {
             name: &record.name,
-            load: restored.load,
-            slowdown: restored.slowdown,
-            baseline: restored.baseline,
+            load: restored.load.map(Into::into),
+            slowdown: restored.slowdown.map(Into::into),
+            baseline: restored.baseline.map(Into::into),
         });
         true
     }
@@ -143,7 +149,7 @@
             taken_at: record.observed_at.min(self.now),
             outcomes: weight * record.outcomes,
             failures: weight * record.failures,
-            spread: record.spread,
+            dispersion: record.spread.into(),
             endpoints: record.endpoints,
             attempts_per_second: record.attempts_per_second,
         });
--- a/crates/proxy/src/upstream/answers.rs
+++ b/crates/proxy/src/upstream/answers.rs
@@ -2,7 +2,7 @@
 
 use slog::{debug, info};
 use tidescale_policy::Balancer;
-use tidescale_policy::types::AttemptOutcome;
+use tidescale_policy::types::{AttemptId, AttemptOutcome};
 
 use super::connection::{EndpointConnection, Job};
 use super::outcomes::{AnswerError, AttemptErrorCause, is_known_sqlstate, outcome_of_sqlstate};
@@ -149,7 +149,7 @@
                 request,
                 attempt_index,
             } = exchange.job
-            && !policy.may_write_attempt(request, attempt_index)
+            && !policy.may_write_attempt(AttemptId::new(request.into(), attempt_index.into()))
         {
             exchange.outcome = Some(AttemptOutcome::NotSent);
             debug!(context.log, "an attempt that may not be sent any more"; "endpoint" => &connection.endpoint);
--- a/crates/proxy/src/upstream/exchanges.rs
+++ b/crates/proxy/src/upstream/exchanges.rs
@@ -4,7 +4,7 @@
 
 use slog::{debug, info};
 use tidescale_policy::Balancer;
-use tidescale_policy::types::{AttemptOutcome, AttemptResult, Timestamp};
+use tidescale_policy::types::{AttemptId, AttemptOutcome, AttemptResult, Timestamp};
 
 use super::connection::{Exchange, Job};
 use super::outcomes::{AttemptError, AttemptErrorCause, RequestProgress};
@@ -188,7 +188,10 @@
                         request_finished: !clients.is_waiting(request),
                         load: None,
                     };
-                    policy.on_attempt_result(request, attempt_index, result);
+                    policy.on_attempt_result(
+                        AttemptId::new(request.into(), attempt_index.into()),
+                        result,
+                    );
                     clients.on_attempt_ended(request, attempt_index);
                 }
                 Job::HealthCheck => policy.on_health_check(&ended.endpoint, ended.outcome, None),
@@ -224,7 +227,10 @@
                     request_finished: !clients.is_waiting(request),
                     load: exchange.load,
                 };
-                policy.on_attempt_result(request, attempt_index, result);
+                policy.on_attempt_result(
+                    AttemptId::new(request.into(), attempt_index.into()),
+                    result,
+                );
                 clients.on_attempt_ended(request, attempt_index);
             }
             Job::HealthCheck => policy.on_health_check(endpoint, outcome, exchange.load),
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use tidescale_policy::types::{AttemptOutcome, Timestamp};
+use tidescale_policy::types::{AttemptOutcome, BuildNumber, Timestamp};
 use tidescale_settings::ConnectionSettings;
 
 use crate::connection::{Component, IoContext, Owner};
@@ -38,7 +38,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The build that it runs.
-    pub build: u32,
+    pub build: BuildNumber,
     /// When it started; none where it has run for long.
     pub started_at: Option<Timestamp>,
 }
--- a/crates/proxy/tests/codecs.rs
+++ b/crates/proxy/tests/codecs.rs
@@ -328,7 +328,7 @@
             read,
             "{lines}"
         );
-        assert_eq!(module.rollout.is_some(), told, "{lines}");
+        assert_eq!(module.rollout().is_some(), told, "{lines}");
     }
 }
 
--- a/crates/proxy/tests/loopback/clients.rs
+++ b/crates/proxy/tests/loopback/clients.rs
@@ -4,7 +4,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use tidescale_proxy::postgres;
+use tidescale_policy::Balancer;
+use tidescale_proxy::clock::Clock;
+use tidescale_proxy::{config, postgres};
 
 use crate::common::*;
 
@@ -158,13 +160,26 @@
     assert!(rows >= 2, "{rows}");
 }
 
+/// A policy that knows the configured endpoints and only the first of the configured routes.
+fn policy_with_one_route(config: &str) -> Balancer {
+    let mut config = config::read(config).ok().unwrap();
+    config.settings.routes.truncate(1);
+    let mut policy = Balancer::new(config.settings, config.seed, Clock::start().now());
+    for endpoint in &config.known_endpoints.endpoints {
+        policy.on_endpoint(endpoint.entry());
+    }
+    policy
+}
+
 #[test]
 fn a_panic_ends_the_connection_that_it_came_from_and_no_other() {
     let (addr, _) = start_endpoint(|_| EndpointAction::Row(vec![5]));
+    let config = config_with_endpoints(&[addr], 128);
+    let one_route = policy_with_one_route(&config);
     let (_, (struck, other)) = with_proxy(
-        &config_with_endpoints(&[addr], 128),
-        // The module knows nothing of the second route any more.
-        |proxy| proxy.policy.settings.routes.truncate(1),
+        &config,
+        // The policy knows nothing of the second route.
+        |proxy| proxy.policy = one_route,
         |addr| {
             let [mut struck, mut other] = [(); 2].map(|()| Client::open(addr));
             for client in [&mut struck, &mut other] {
