--- a/crates/settings/src/connections.rs
+++ b/crates/settings/src/connections.rs
@@ -1,4 +1,4 @@
-//! The settings that the proxy needs for its connections, and the policy does not.
+//! Settings of the proxy's connections, which the policy does not use.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use crate::raw::RawSettings;
 use crate::routes::{route_count, route_path};
 
-/// Time-outs of connections, and how endpoints report their load.
+/// Time-outs of connections, and the way in which endpoints report their load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// A connection that is not up after this time has failed; never zero.
+    /// A connection attempt fails after this time; never zero.
     pub connect_timeout: Duration,
-    /// The other side closes a connection that has been idle for this long.
+    /// The peer closes a connection that has been idle for this long.
     pub idle_timeout: Duration,
-    /// The longest deadline of any route; zero without routes.
+    /// The longest deadline of any route; zero if there are no routes.
     pub longest_deadline: Duration,
-    /// Endpoints report their load only when asked.
+    /// Endpoints report their load only on request.
     pub load_on_demand: bool,
 }
 
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes the policy's settings, group by group.
 //!
-//! Of several unusable settings the first one is reported, in the order in which they stand here.
+//! If several settings are unusable, the one that is decoded first is reported.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -12,17 +12,18 @@
 use crate::routes::decode_routes;
 use crate::values::parse_number;
 
-/// A share of a whole: of capacity, of traffic.
+/// A share of capacity or of traffic.
 const SHARE: RangeInclusive<f64> = 0.0..=1.0;
 
-/// A request has one attempt at least. The upper end only rejects slips of the pen; it converts to
-/// an integer exactly.
+/// Attempts of one request. The upper bound only rejects typing errors; it converts to an integer
+/// exactly.
 const ATTEMPTS: RangeInclusive<f64> = 1.0..=1e6;
 
-/// Multiples of a capacity; the upper end only rejects slips of the pen.
+/// A multiple of a capacity; the upper bound only rejects typing errors.
 const MULTIPLE: RangeInclusive<f64> = 0.0..=1e6;
 
-/// Attempts allowed beside the traffic cap; the upper end only rejects slips of the pen.
+/// Attempts that are allowed in addition to the traffic cap; the upper bound only rejects typing
+/// errors.
 const ALLOWANCE: RangeInclusive<f64> = 0.0..=1e9;
 
 /// Decodes all settings that the policy reads.
@@ -40,34 +41,25 @@
         instance_count: instance.count,
         zone: raw.text("zone")?.to_string(),
         routes,
-        // Endpoint list and routing.
         poll_endpoints,
-        max_poll_interval: if poll_endpoints {
-            raw.duration("rules.must_ask_in")?
-        } else {
-            Duration::MAX
-        },
+        max_poll_interval: decode_max_poll_interval(raw, poll_endpoints)?,
         cross_zone_price: raw.number("tariffs.cross_zone")?,
-        // Attempts.
         health_checks: raw.flag("policy_limits.probes")?,
         cancel_attempts: raw.flag("policy_limits.may_cancel")?,
         hedging: raw.flag("policy_limits.second_copies")?,
         max_attempts: raw.number_in("policy_limits.max_attempts", ATTEMPTS)? as usize,
         max_retry_after: decode_max_retry_after(raw)?,
-        // Starts and ends of endpoints.
         grace_period: raw.duration("rules.drain_grace")?,
         warm_up_start: raw.number_in("rules.cold_from", SHARE)?,
         warm_up_time: raw.duration("rules.cold")?,
         overload_multiple: raw.number_in("rules.fall_multiple", MULTIPLE)?,
         overload_window: raw.duration("rules.fall")?,
-        // Exposure to a build under evaluation.
         stage_caps,
         exposure_allowance: raw.number_in("family_info.allowance", ALLOWANCE)?,
         exposure_window: raw.duration("family_info.exposure_window")?,
         exposure_by_route: decode_exposure_by_route(raw)?,
         guarded_stages: raw.number("family_info.guarded_stages")?,
         monotonic_key_builds: raw.flag("family_info.forward_only")?,
-        // Stages and votes.
         automatic_stages: decode_automatic_stages(raw)?,
         min_stage_time: raw.duration("family_info.min_dwell")?,
         rollback_votes: raw.number("family_info.to_abort")?,
@@ -77,7 +69,7 @@
     })
 }
 
-/// Which proxy instance this is, of how many.
+/// The index of this proxy instance and the number of instances.
 struct Instance {
     index: u32,
     count: u32,
@@ -96,6 +88,18 @@
     Ok(Instance { index, count })
 }
 
+/// Unlimited where changes of the endpoint list are pushed.
+fn decode_max_poll_interval(
+    raw: &RawSettings,
+    poll_endpoints: bool,
+) -> Result<Duration, SettingsError> {
+    if poll_endpoints {
+        raw.duration("rules.must_ask_in")
+    } else {
+        Ok(Duration::MAX)
+    }
+}
+
 /// The traffic cap of each stage, separated by commas.
 fn decode_stage_caps(raw: &RawSettings) -> Result<Vec<f64>, SettingsError> {
     let path = "family_info.stage_cap";
@@ -115,7 +119,7 @@
     Ok(stage_caps)
 }
 
-/// Zero where a rejected client is given no Retry-After time.
+/// Zero if rejected clients are sent no Retry-After time.
 fn decode_max_retry_after(raw: &RawSettings) -> Result<Duration, SettingsError> {
     if raw.flag("policy_limits.retry_after")? {
         raw.duration("policy_limits.max_retry_after")
@@ -125,8 +129,8 @@
 }
 
 fn decode_exposure_by_route(raw: &RawSettings) -> Result<bool, SettingsError> {
-    let countings = [("all", false), ("each_class", true)];
-    raw.one_of("family_info.counted_by", &countings)
+    let counting_modes = [("all", false), ("each_class", true)];
+    raw.one_of("family_info.counted_by", &counting_modes)
 }
 
 fn decode_automatic_stages(raw: &RawSettings) -> Result<bool, SettingsError> {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -4,22 +4,22 @@
 
 use crate::values::ValueError;
 
-/// A setting that is missing or unusable. Operators see the message; but for
-/// [`InvalidStageCap`](SettingsError::InvalidStageCap), each one names the setting's path.
+/// A setting that is missing or unusable. Operators see the message; each names the setting's path,
+/// except [`InvalidStageCap`](SettingsError::InvalidStageCap).
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Nothing is given under this path.
+    /// There is no setting under this path.
     #[error("a setting is missing: {path}")]
     Missing {
-        /// Where it was looked for.
+        /// The path.
         path: String,
     },
-    /// The text is no value of the setting's type.
+    /// The text is not a value of the setting's type.
     #[error("{path}: {source}")]
     InvalidValue {
         /// The setting.
         path: String,
-        /// What is wrong with its text.
+        /// Why its text is not a value.
         source: ValueError,
     },
     /// The value is of the right type, but outside the setting's range.
@@ -30,35 +30,35 @@
         /// Its value.
         value: String,
     },
-    /// The setting takes one of a few words, and this is none of them.
+    /// The setting takes one of a few words, and this is not one of them.
     #[error("{path}: unknown word: {word}")]
     UnknownWord {
         /// The setting.
         path: String,
-        /// What it was given.
+        /// The unknown word.
         word: String,
     },
-    /// A route's idempotency is none of the known kinds.
+    /// A route's idempotency is of an unknown kind.
     #[error("{path}: unknown kind {kind}")]
     UnknownIdempotency {
         /// The setting.
         path: String,
-        /// What it was given.
+        /// The unknown kind.
         kind: String,
     },
-    /// A route's idempotency keys have none of the known scopes.
+    /// A route's idempotency keys have an unknown scope.
     #[error("{path}: unknown scope {scope}")]
     UnknownKeyScope {
         /// The setting.
         path: String,
-        /// What it was given.
+        /// The unknown scope.
         scope: String,
     },
-    /// One of the comma-separated numbers in `family_info.stage_cap` is none. The message shows
-    /// only the number.
+    /// One of the comma-separated values in `family_info.stage_cap` is not a number. The message
+    /// shows only this value.
     #[error(transparent)]
     InvalidStageCap(ValueError),
-    /// With this setting, every connection attempt would time out at once.
+    /// With this setting, every connection attempt would time out immediately.
     #[error("policy_limits.connect_timeout: zero: no connection could come up in time")]
     ZeroConnectTimeout,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decodes the settings of a proxy instance from paths and texts, whichever way they arrive: from
-//! the lines that `tidescale-simhost` reads or from a configuration file whose nesting was turned
-//! into dotted paths.
+//! Decodes the settings of a proxy instance from dotted paths and texts. They come from the lines
+//! that `tidescale-simhost` reads, or from a configuration file whose nested keys were joined to
+//! dotted paths.
 //!
-//! [`RawSettings`] holds the texts by path. [`decode`] makes the policy's
-//! [`Settings`](tidescale_policy::settings::Settings) of them, [`connection_settings`] what the
-//! proxy needs for its connections. Units and ranges are checked here, once. This crate does no
+//! [`RawSettings`] holds the texts by path. [`decode`] converts them to the policy's
+//! [`Settings`](tidescale_policy::settings::Settings), [`connection_settings`] to the settings of
+//! the proxy's connections. Units and ranges are checked here and nowhere else. This crate does no
 //! I/O.
 //!
 //! ```
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -15,14 +15,14 @@
 pub struct RawSettings(BTreeMap<String, String>);
 
 impl FromIterator<(String, String)> for RawSettings {
-    /// Collects paths and their texts; of several texts for one path, the last one counts.
+    /// Collects paths and their texts; if a path occurs more than once, its last text is used.
     fn from_iter<I: IntoIterator<Item = (String, String)>>(pairs: I) -> Self {
         RawSettings(pairs.into_iter().collect())
     }
 }
 
 impl RawSettings {
-    /// The text as it was given.
+    /// The text of a setting, unchanged.
     ///
     /// # Errors
     ///
@@ -36,14 +36,13 @@
         }
     }
 
-    /// A number of any size that its type can hold.
+    /// A number, limited only by its type.
     ///
     /// # Errors
     ///
     /// [`SettingsError::Missing`] or [`SettingsError::InvalidValue`].
-    pub fn number<T>(&self, path: &str) -> Result<T, SettingsError>
+    pub fn number<T: FromStr>(&self, path: &str) -> Result<T, SettingsError>
     where
-        T: FromStr,
         ParseNumberError: From<T::Err>,
     {
         parse_number(self.text(path)?).map_err(|source| invalid_value(path, source))
@@ -66,7 +65,7 @@
         Ok(value)
     }
 
-    /// A time, given in milliseconds and rounded to whole microseconds.
+    /// A duration, given in milliseconds and rounded to whole microseconds.
     ///
     /// # Errors
     ///
@@ -75,7 +74,7 @@
         parse_duration(self.text(path)?).map_err(|source| invalid_value(path, source))
     }
 
-    /// A yes or no.
+    /// A boolean; see [`parse_flag`].
     ///
     /// # Errors
     ///
@@ -84,7 +83,7 @@
         parse_flag(self.text(path)?).map_err(|source| invalid_value(path, source))
     }
 
-    /// What the setting's word stands for, by a table of all its words.
+    /// The value of the setting's word in a table of all its words.
     ///
     /// # Errors
     ///
@@ -92,7 +91,7 @@
     pub fn one_of<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, SettingsError> {
         let given = self.text(path)?;
         match words.iter().find(|(word, _)| *word == given) {
-            Some((_, meaning)) => Ok(*meaning),
+            Some((_, value)) => Ok(*value),
             None => Err(SettingsError::UnknownWord {
                 path: path.to_string(),
                 word: given.to_string(),
@@ -100,11 +99,11 @@
         }
     }
 
-    /// Length of the list at this path; 0 where there is none.
+    /// Length of the list at this path; 0 if there is no such list.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::InvalidValue`] where the length is no number.
+    /// [`SettingsError::InvalidValue`] if the length is not a number.
     pub fn count(&self, path: &str) -> Result<usize, SettingsError> {
         let count_path = format!("{path}.count");
         if self.0.contains_key(&count_path) {
--- a/crates/settings/src/routes.rs
+++ b/crates/settings/src/routes.rs
@@ -1,4 +1,4 @@
-//! Decodes the routes, which the settings call classes: the list `classes`, one item for each
+//! Decodes the routes. The settings call them classes: the list `classes` has one item for each
 //! route.
 
 use tidescale_policy::settings::{Idempotency, KeyScope, Route};
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a single value, without knowing which setting it belongs to.
+//! Parses the text of a single value, for any setting.
 
 use std::num::{ParseFloatError, ParseIntError};
 use std::str::FromStr;
@@ -6,57 +6,58 @@
 
 use thiserror::Error;
 
-/// The first count of milliseconds that is out of range: 317 years, longer than any sensible
-/// setting or clock, and in microseconds still far from the end of a `u64`.
+/// Durations in milliseconds must be shorter than this: 317 years, which is longer than any
+/// sensible setting or clock, and whose microseconds are far below the limit of a `u64`.
 const DURATION_LIMIT_MS: f64 = 1e13;
 
+/// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Why a text is no value of the wanted type. Each message ends with the text.
+/// Why a text is not a value of the expected type. Each message ends with the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// Not a number of the wanted type.
+    /// Not a number of the expected type.
     #[error("not a number: {text}")]
     NotANumber {
-        /// What was read.
+        /// The text.
         text: String,
-        /// Why it is none.
+        /// Why it is not a number.
         source: ParseNumberError,
     },
     /// Not a number of milliseconds.
     #[error("not a time: {text}")]
     NotADuration {
-        /// What was read.
+        /// The text.
         text: String,
-        /// Why it is none.
+        /// Why it is not a number.
         source: ParseFloatError,
     },
-    /// Negative, not finite, or longer than any sensible time.
+    /// Negative, not finite, or longer than any sensible duration.
     #[error("time out of range: {text}")]
     DurationOutOfRange {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// None of the words for yes and no.
+    /// None of the words for true and false.
     #[error("not a yes or no: {text}")]
     NotAFlag {
-        /// What was read.
+        /// The text.
         text: String,
     },
 }
 
-/// The standard library's reason why a text is no number.
+/// The standard library's reason why a text is not a number.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseNumberError {
-    /// No integer of the wanted size.
+    /// Not an integer of the expected type.
     #[error(transparent)]
     Integer(#[from] ParseIntError),
-    /// No floating-point number.
+    /// Not a floating-point number.
     #[error(transparent)]
     Float(#[from] ParseFloatError),
 }
 
-/// Parses milliseconds, with decimals if need be, and rounds them to whole microseconds.
+/// Parses a number of milliseconds, which may have decimals, and rounds it to whole microseconds.
 ///
 /// # Errors
 ///
@@ -75,14 +76,13 @@
     Ok(Duration::from_micros(micros))
 }
 
-/// Parses an integer or a floating-point number; what the type itself can hold is the only bound.
+/// Parses an integer or a floating-point number, limited only by the range of its type.
 ///
 /// # Errors
 ///
 /// [`ValueError::NotANumber`].
-pub fn parse_number<T>(text: &str) -> Result<T, ValueError>
+pub fn parse_number<T: FromStr>(text: &str) -> Result<T, ValueError>
 where
-    T: FromStr,
     ParseNumberError: From<T::Err>,
 {
     text.parse().map_err(|error| ValueError::NotANumber {
@@ -91,7 +91,7 @@
     })
 }
 
-/// Parses a yes (`1`, `true`) or a no (`0`, `false`, or `-` for a value left out).
+/// Parses a boolean: `1` or `true`; `0`, `false`, or `-` for a field without a value.
 ///
 /// # Errors
 ///
