--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,8 +1,7 @@
 //! The loop over batches: reads one, steps every instance that it names, and writes the reply.
 //!
-//! Starts and stops of instances and endpoint lists take effect as they are read; events are kept
-//! until the batch is complete. Nothing of a reply is written unless all of the batch could be
-//! understood.
+//! Starts and stops of instances and endpoint lists take effect when their lines are read; events
+//! are kept until the batch is complete. A reply is written only if the whole batch was parsed.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -15,15 +14,16 @@
 use crate::error::AdapterError;
 use crate::fields::{fields, message_name};
 use crate::instance::Instance;
+use crate::numbers::{InstanceNumber, ListNumber};
 
-/// The bench's side of all instances.
+/// All instances of the bench, with the streams from and to it.
 pub struct Adapter<R, W> {
     input: R,
     output: W,
-    /// Running instances, by the bench's numbers.
-    instances: BTreeMap<u64, Instance>,
-    /// Endpoint lists, by the bench's numbers; a number may be given again.
-    endpoint_lists: BTreeMap<u32, EndpointRows>,
+    /// Running instances.
+    instances: BTreeMap<InstanceNumber, Instance>,
+    /// The latest endpoint list of each number.
+    endpoint_lists: BTreeMap<ListNumber, EndpointRows>,
 }
 
 impl<R: BufRead, W: Write> Adapter<R, W> {
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// The next line without its end; none at the end of input.
+    /// The next line without its line end; `None` at the end of input.
     fn read_line(&mut self) -> Result<Option<String>, AdapterError> {
         let mut line = String::new();
         let length = self
@@ -74,7 +74,7 @@
                 "OVER_TO_YOU" => return Ok(()),
                 "AT" => {
                     let [number] = fields(&line)?;
-                    instance = Some(parse_number(number)?);
+                    instance = Some(InstanceNumber::parse(number)?);
                 }
                 "INVENTORY" => self.read_endpoint_list(&line)?,
                 _ => {
@@ -90,7 +90,7 @@
     /// Reads the rows of an endpoint list that starts with `INVENTORY <list number> <rows>`.
     fn read_endpoint_list(&mut self, line: &str) -> Result<(), AdapterError> {
         let [list_number, row_count] = fields(line)?;
-        let list_number = parse_number(list_number)?;
+        let list_number = ListNumber::parse(list_number)?;
         let row_count: usize = parse_number(row_count)?;
         let mut rows = Vec::new();
         for _ in 0..row_count {
@@ -107,7 +107,7 @@
     /// Starts or stops an instance, or keeps its event for the step.
     fn take_event(
         &mut self,
-        instance: u64,
+        instance: InstanceNumber,
         line: String,
         batch: &mut Batch,
     ) -> Result<(), AdapterError> {
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    /// Steps the instances that the batch names, in the order of their numbers. Events for one that
-    /// does not run are ignored, unread.
+    /// Steps the instances that the batch names, in the order of their numbers. Events for an
+    /// instance that does not run are ignored and not parsed.
     fn step_instances(&mut self, batch: &Batch) -> Result<String, AdapterError> {
         let mut reply = String::new();
         for (number, event_lines) in &batch.events {
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -3,30 +3,31 @@
 use std::collections::BTreeMap;
 
 use tidescale_policy::types::Timestamp;
-use tidescale_settings::{parse_duration, parse_number};
+use tidescale_settings::parse_duration;
 
 use crate::endpoint_list::EndpointRows;
 use crate::error::AdapterError;
 use crate::fields::fields;
+use crate::numbers::{BatchNumber, InstanceNumber};
 
-/// An event as it was read.
+/// An event that is not parsed yet.
 pub struct EventLine {
     /// The whole line.
     pub line: String,
-    /// The rows that a `ROSTER_CHANGE` refers to, bound when it was read: the list's number may be
-    /// reused later in the batch.
+    /// The rows that a `ROSTER_CHANGE` refers to. They are looked up when its line is read, because
+    /// the list's number may be reused later in the batch.
     pub endpoint_rows: Option<EndpointRows>,
 }
 
-/// A batch, as far as it was read.
+/// The lines of a batch that were read so far.
 pub struct Batch {
     /// The bench's clock.
     pub now: Timestamp,
     /// Identifies the batch in its acknowledgement.
-    pub number: u64,
+    pub number: BatchNumber,
     /// Events by instance. An instance that was started in this batch has an entry even without
     /// events.
-    pub events: BTreeMap<u64, Vec<EventLine>>,
+    pub events: BTreeMap<InstanceNumber, Vec<EventLine>>,
 }
 
 impl Batch {
@@ -42,18 +43,19 @@
         };
         Ok(Batch {
             now: Timestamp::ZERO + parse_duration(clock)?,
-            number: parse_number(number)?,
+            number: BatchNumber::parse(number)?,
             events: BTreeMap::new(),
         })
     }
 
     /// Adds an event for an instance.
-    pub fn push(&mut self, instance: u64, event_line: EventLine) {
+    pub fn push(&mut self, instance: InstanceNumber, event_line: EventLine) {
         self.events.entry(instance).or_default().push(event_line);
     }
 
-    /// Drops what was read for an instance before it started or stopped, but keeps it as named.
-    pub fn clear(&mut self, instance: u64) {
+    /// Drops the events that were read for an instance before it started or stopped. The batch still
+    /// names the instance.
+    pub fn clear(&mut self, instance: InstanceNumber) {
         self.events.entry(instance).or_default().clear();
     }
 }
--- a/crates/simulator-adapter/src/decision_writer.rs
+++ b/crates/simulator-adapter/src/decision_writer.rs
@@ -5,7 +5,7 @@
 
 use tidescale_policy::host::DecisionSink;
 use tidescale_policy::types::{
-    AttemptId, Ballot, EvidenceTest, RequestId, RollbackVerdict, Timestamp, Vote, whole_micros,
+    AttemptId, Ballot, EvidenceTest, RequestId, RollbackVerdict, Timestamp, Vote, fractional_micros,
 };
 
 /// Appends one line for each decision to the reply.
@@ -25,10 +25,13 @@
     }
 }
 
-/// Milliseconds with as many decimals as whole microseconds need. What is finer is cut off, never
-/// rounded up past a limit.
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: f64 = 1000.0;
+
+/// Milliseconds, with decimals for whole microseconds. Fractions of a microsecond are cut off, so
+/// that a duration is not rounded up beyond a limit.
 fn milliseconds(duration: Duration) -> f64 {
-    whole_micros(duration) as f64 / 1000.0
+    fractional_micros(duration) / MICROS_PER_MS
 }
 
 impl DecisionSink for DecisionWriter<'_> {
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Parses endpoint lists: the rows of an `INVENTORY`, as a `ROSTER_CHANGE` announces them.
+//! Parses endpoint lists: a `ROSTER_CHANGE` and the rows of the `INVENTORY` that it refers to.
 
 use std::rc::Rc;
 
@@ -7,21 +7,23 @@
 
 use crate::error::AdapterError;
 use crate::fields::{fields, optional};
+use crate::numbers::ListNumber;
 
 /// The `ROW` lines of one `INVENTORY`, shared by the events that refer to it.
 pub type EndpointRows = Rc<Vec<String>>;
 
-/// What a `ROSTER_CHANGE` says; names borrow from the rows.
+/// The content of a `ROSTER_CHANGE`; names borrow from the rows.
 pub enum EndpointListUpdate<'a> {
-    /// The whole list: an endpoint that it does not name is gone.
+    /// The whole list: an endpoint that it does not name is removed.
     Complete(Vec<EndpointEntry<'a>>),
     /// The endpoints that have changed.
     Changes(Vec<EndpointEntry<'a>>),
-    /// The list could not be fetched.
+    /// Polling the list has failed.
     Failed,
 }
 
-/// Parses a `ROSTER_CHANGE` with the rows of the list that it names, if that list was given.
+/// Parses `ROSTER_CHANGE <kind> <revision> <list number>` with the rows of that list, if there is
+/// one.
 pub fn parse_endpoint_list<'a>(
     line: &str,
     rows: Option<&'a EndpointRows>,
@@ -38,9 +40,10 @@
     }
 }
 
-/// Number of the list that a `ROSTER_CHANGE` names, if its line has one.
-pub fn announced_list_number(line: &str) -> Option<u32> {
-    line.split(' ').nth(3)?.parse().ok()
+/// Number of the list that a `ROSTER_CHANGE` refers to; `None` if its line has no valid number.
+pub fn announced_list_number(line: &str) -> Option<ListNumber> {
+    let list_number = line.split(' ').nth(3)?;
+    ListNumber::parse(list_number).ok()
 }
 
 fn parse_entries(rows: Option<&EndpointRows>) -> Result<Vec<EndpointEntry<'_>>, AdapterError> {
@@ -87,7 +90,8 @@
     }
 }
 
-/// An endpoint that started at 0 has been up since before the bench's clock began.
+/// `None` also for an endpoint that started at 0: it was already running when the bench's clock
+/// started.
 fn parse_started_at(text: &str) -> Result<Option<Timestamp>, AdapterError> {
     let Some(text) = optional(text) else {
         return Ok(None);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,34 +1,36 @@
-//! Why the adapter gives up.
+//! Errors that end the adapter.
 
 use std::io;
+use std::time::Duration;
 
 use thiserror::Error;
+use tidescale_policy::types::whole_micros;
 use tidescale_settings::{SettingsError, ValueError};
 
-/// Input that the adapter cannot understand, or a stream that broke. The bench shows the message,
-/// so its texts stay as they are.
+/// Input that cannot be parsed, or a stream that failed. The message is part of the reply to the
+/// bench, so the texts must not change.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Stdin cannot be read, or holds bytes that are no UTF-8.
+    /// Stdin cannot be read, or is not valid UTF-8.
     #[error("cannot read: {0}")]
     Read(#[source] io::Error),
     /// Stdout cannot be written.
     #[error("cannot write: {0}")]
     Write(#[source] io::Error),
-    /// A value of a line is not of the wanted type.
+    /// A value of a line is not of the expected type.
     #[error(transparent)]
     Value(#[from] ValueError),
-    /// A starting instance has unusable settings.
+    /// An instance was started with unusable settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 
     /// A batch does not start with `MARK`.
     #[error("a batch must start with its clock: {line}")]
     BatchWithoutClock {
-        /// The line in its place.
+        /// The line that was read instead.
         line: String,
     },
-    /// Input ended before `OVER_TO_YOU`.
+    /// The input ended before `OVER_TO_YOU`.
     #[error("input ended inside a batch")]
     EndInsideBatch,
     /// An event before the batch's first `AT`.
@@ -40,7 +42,7 @@
     /// Fewer `ROW` lines than `INVENTORY` announced.
     #[error("a list is shorter than told: {line}")]
     ListTooShort {
-        /// The line in place of the missing row; empty at the end of input.
+        /// The line that was read instead of the missing row; empty at the end of input.
         line: String,
     },
 
@@ -56,7 +58,7 @@
         /// The line.
         line: String,
     },
-    /// A line starts with none of the known names.
+    /// A line with an unknown message name.
     #[error("unknown message: {line}")]
     UnknownMessage {
         /// The line.
@@ -69,59 +71,59 @@
     /// `SPAWN` without settings.
     #[error("a start without settings")]
     SpawnWithoutSettings,
-    /// A setting of `SPAWN` is no `PATH=TEXT`.
+    /// A setting of `SPAWN` does not have the form `PATH=TEXT`.
     #[error("not a setting: {text}")]
     NotASetting {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// The policy could not answer in time, even if it were asked at each tick.
-    #[error("rules.answer_slack: {slack_micros} us are less than a tick")]
+    /// The policy could not answer in time, even if it were stepped at each tick.
+    #[error("rules.answer_slack: {} us are less than a tick", whole_micros(*slack))]
     AnswerSlackBelowTick {
-        /// The setting, in microseconds.
-        slack_micros: u64,
+        /// The setting.
+        slack: Duration,
     },
 
-    /// A route that the instance's settings do not name.
+    /// A route that is not in the instance's settings.
     #[error("unknown class: {name}")]
     UnknownRoute {
         /// The name.
         name: String,
     },
-    /// None of the known ends of an attempt or health check.
+    /// An unknown outcome of an attempt or a health check.
     #[error("unknown outcome: {text}")]
     UnknownOutcome {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// A load report is no list of `NAME:VALUE`.
+    /// A load report is not a list of `NAME:VALUE`.
     #[error("not a load report: {text}")]
     NotALoadReport {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// None of the known answers to a vote.
+    /// An unknown result of a vote.
     #[error("unknown answer to a vote: {text}")]
     UnknownVoteResult {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// None of the known phases of a rollout.
+    /// An unknown phase of a rollout.
     #[error("unknown course: {text}")]
     UnknownRolloutPhase {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// None of the known kinds of an endpoint list.
+    /// An unknown kind of an endpoint list.
     #[error("unknown kind of list: {text}")]
     UnknownListKind {
-        /// What was read.
+        /// The text.
         text: String,
     },
-    /// A list was announced that no `INVENTORY` has given.
+    /// A list was announced without an earlier `INVENTORY`.
     #[error("a list that was never given")]
     ListNeverGiven,
-    /// None of the known states of an endpoint.
+    /// An unknown state of an endpoint.
     #[error("unknown readiness: {row}")]
     UnknownEndpointState {
         /// The endpoint's row.
--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -1,4 +1,4 @@
-//! Delivers one instance's events of one batch to its policy.
+//! Delivers the events of one instance and one batch to its policy.
 
 use tidescale_policy::{Balancer, EventSource};
 
@@ -6,25 +6,26 @@
 use crate::endpoint_list::EndpointListUpdate;
 use crate::error::AdapterError;
 use crate::event::Event;
+use crate::route_names::RouteNames;
 
-/// Parses and delivers lines in order, up to the first that cannot be understood.
+/// Parses and delivers lines in order, up to the first that cannot be parsed.
 pub struct LineEvents<'a> {
     event_lines: &'a [EventLine],
-    route_names: &'a [String],
+    routes: &'a RouteNames,
     error: Option<AdapterError>,
 }
 
 impl<'a> LineEvents<'a> {
-    /// Events for an instance whose settings name these routes.
-    pub fn new(event_lines: &'a [EventLine], route_names: &'a [String]) -> Self {
+    /// Events for an instance with these routes.
+    pub fn new(event_lines: &'a [EventLine], routes: &'a RouteNames) -> Self {
         LineEvents {
             event_lines,
-            route_names,
+            routes,
             error: None,
         }
     }
 
-    /// To be called after delivery: the error that ended it early, if one did.
+    /// To be called after delivery. Returns the error if delivery stopped before the last line.
     pub fn finish(self) -> Result<(), AdapterError> {
         match self.error {
             Some(error) => Err(error),
@@ -34,7 +35,7 @@
 
     fn deliver_all(&self, policy: &mut Balancer) -> Result<(), AdapterError> {
         for event_line in self.event_lines {
-            let event = Event::parse(event_line, self.route_names)?;
+            let event = Event::parse(event_line, self.routes)?;
             deliver_event(event, policy);
         }
         Ok(())
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -13,10 +13,10 @@
     line.split(' ').next().unwrap_or_default()
 }
 
-/// The fields after the message's name, of which there must be exactly `N`.
-pub fn fields<const N: usize>(line: &str) -> Result<[&str; N], AdapterError> {
+/// The fields after the message's name, of which there must be exactly `COUNT`.
+pub fn fields<const COUNT: usize>(line: &str) -> Result<[&str; COUNT], AdapterError> {
     let mut remaining = line.split(' ').skip(1);
-    let mut fields = [""; N];
+    let mut fields = [""; COUNT];
     for field in &mut fields {
         *field = remaining.next().ok_or_else(|| AdapterError::TooFewValues {
             line: line.to_string(),
@@ -30,12 +30,12 @@
     Ok(fields)
 }
 
-/// The field's text, unless it is without a value.
+/// The field's text; `None` for a field without a value.
 pub fn optional(text: &str) -> Option<&str> {
     (text != "-").then_some(text)
 }
 
-/// How an attempt or a health check ended.
+/// Parses the outcome of an attempt or a health check.
 pub fn parse_outcome(text: &str) -> Result<AttemptOutcome, AdapterError> {
     match text {
         "done" => Ok(AttemptOutcome::Succeeded),
@@ -52,8 +52,8 @@
     }
 }
 
-/// An endpoint's load report, `NAME:VALUE,NAME:VALUE…`; values that the policy does not use are
-/// only checked.
+/// Parses an endpoint's load report, `NAME:VALUE,NAME:VALUE…`. Values that the policy does not use
+/// are only checked.
 pub fn parse_load_report(text: &str) -> Result<Option<LoadReport>, AdapterError> {
     let Some(text) = optional(text) else {
         return Ok(None);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,23 +1,23 @@
-//! One proxy instance of the bench: its policy, and the names that its lines use.
+//! One proxy instance of the bench: its policy, and the names of its routes.
 
 use tidescale_policy::Balancer;
-use tidescale_policy::types::{Timestamp, whole_micros};
+use tidescale_policy::types::Timestamp;
 use tidescale_settings::{RawSettings, decode, parse_number};
 
 use crate::batch::EventLine;
 use crate::decision_writer::DecisionWriter;
 use crate::error::AdapterError;
 use crate::event_source::LineEvents;
+use crate::route_names::RouteNames;
 
 /// A running instance.
 pub struct Instance {
     policy: Balancer,
-    /// Names of the routes, by index.
-    route_names: Vec<String>,
+    routes: RouteNames,
 }
 
 impl Instance {
-    /// Starts an instance as its line says: `SPAWN <seed> <settings>`.
+    /// Starts an instance by its line, `SPAWN <seed> <settings>`.
     pub fn spawn(line: &str, now: Timestamp) -> Result<Self, AdapterError> {
         let mut parts = line.splitn(3, ' ').skip(1);
         let seed = parts.next().ok_or(AdapterError::SpawnWithoutSeed)?;
@@ -26,14 +26,9 @@
         let raw = parse_raw_settings(settings)?;
         check_answer_slack(&raw)?;
         let settings = decode(&raw)?;
-        let route_names = settings
-            .routes
-            .iter()
-            .map(|route| route.name.clone())
-            .collect();
         Ok(Instance {
+            routes: RouteNames::of(&settings),
             policy: Balancer::new(settings, seed, now),
-            route_names,
         })
     }
 
@@ -44,14 +39,14 @@
         event_lines: &[EventLine],
         reply: &mut String,
     ) -> Result<(), AdapterError> {
-        let mut events = LineEvents::new(event_lines, &self.route_names);
+        let mut events = LineEvents::new(event_lines, &self.routes);
         let mut decisions = DecisionWriter::new(reply);
         self.policy.step(now, &mut events, &mut decisions);
         events.finish()
     }
 }
 
-/// Parses settings as the bench writes them: `PATH=TEXT`, separated by spaces.
+/// Parses settings of the form `PATH=TEXT`, separated by spaces.
 fn parse_raw_settings(text: &str) -> Result<RawSettings, AdapterError> {
     text.split(' ')
         .filter(|setting| !setting.is_empty())
@@ -64,15 +59,13 @@
         .collect()
 }
 
-/// Refuses a slack for answers that is shorter than the bench's tick, which may be left out. The
-/// policy acts in the very step in which something falls due, and on the bench nothing is added to
-/// the slack; on sockets 50 ms are.
+/// Refuses an answer slack that is shorter than the bench's tick; the setting of the tick is
+/// optional. The policy acts in the step in which a deadline passes. On the bench nothing is added
+/// to the slack, so it has to cover the time between two steps; the proxy on sockets adds 50 ms.
 fn check_answer_slack(raw: &RawSettings) -> Result<(), AdapterError> {
     let slack = raw.duration("rules.answer_slack")?;
     match raw.duration("tick") {
-        Ok(tick) if slack < tick => Err(AdapterError::AnswerSlackBelowTick {
-            slack_micros: whole_micros(slack),
-        }),
+        Ok(tick) if slack < tick => Err(AdapterError::AnswerSlackBelowTick { slack }),
         _ => Ok(()),
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! `tidescale-simhost`: runs the policy on the operators' bench. Batches of events arrive as lines
-//! on stdin, decisions go out as lines on stdout; the program itself decides nothing.
+//! `tidescale-simhost`: runs the policy on the operators' bench. Batches of events are read as lines
+//! from stdin, decisions are written as lines to stdout; all decisions are made by the policy.
 //!
 //! A batch is
 //!
@@ -12,13 +12,13 @@
 //! ```
 //!
 //! and its reply is `INSTANCE <instance>` and that instance's decisions, for each instance that was
-//! named and runs, closed by `ACK <batch number>`. Input that cannot be understood ends the program
+//! named and runs, followed by `ACK <batch number>`. Input that cannot be parsed ends the program
 //! with `INTERNAL_ERROR <message>` as its last line, the same message on stderr and a non-zero exit
 //! status.
 //!
-//! [`adapter`] is the loop over batches and [`batch`] what it collects of one; [`event`] and
-//! [`endpoint_list`] say what the lines mean; [`event_source`] and [`decision_writer`] implement
-//! the two traits of a host of the policy.
+//! [`adapter`] is the loop over batches and [`batch`] the events of one batch; [`event`] and
+//! [`endpoint_list`] parse the lines; [`event_source`] and [`decision_writer`] implement the two
+//! traits of a host of the policy.
 
 mod adapter;
 mod batch;
@@ -29,6 +29,8 @@
 mod event_source;
 mod fields;
 mod instance;
+mod numbers;
+mod route_names;
 
 use std::io;
 use std::process::ExitCode;
--- /dev/null
+++ b/crates/simulator-adapter/src/route_names.rs
@@ -0,0 +1,28 @@
+//! Names of the routes of one instance.
+
+use tidescale_policy::settings::Settings;
+use tidescale_policy::types::RouteIndex;
+
+use crate::error::AdapterError;
+
+/// The names of the routes, by index.
+pub struct RouteNames(Vec<String>);
+
+impl RouteNames {
+    /// The names in the settings of an instance.
+    pub fn of(settings: &Settings) -> Self {
+        let names = settings.routes.iter().map(|route| route.name.clone());
+        RouteNames(names.collect())
+    }
+
+    /// The route of this name.
+    pub fn find(&self, name: &str) -> Result<RouteIndex, AdapterError> {
+        self.0
+            .iter()
+            .position(|route_name| route_name == name)
+            .map(RouteIndex::new)
+            .ok_or_else(|| AdapterError::UnknownRoute {
+                name: name.to_string(),
+            })
+    }
+}
