--- a/crates/simulator-adapter/tests/common/mod.rs
+++ b/crates/simulator-adapter/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use std::fmt;
-use std::io::Write;
-use std::process::{Command, Stdio};
+use std::io::{BufRead, BufReader, Write};
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 /// A complete set of settings, one on each line.
 const SETTINGS: &str = "me=0
@@ -155,12 +155,7 @@
 
 /// Runs the adapter on this input until it ends.
 pub fn run(input: &str) -> Run {
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_tidescale-simhost"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .unwrap();
+    let mut adapter = start_adapter();
     adapter
         .stdin
         .take()
@@ -174,3 +169,65 @@
         message: String::from_utf8(output.stderr).unwrap(),
     }
 }
+
+fn start_adapter() -> Child {
+    Command::new(env!("CARGO_BIN_EXE_tidescale-simhost"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
+}
+
+/// A running adapter with instance 0, for tests whose input depends on its replies.
+pub struct Session {
+    adapter: Child,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
+    batches: u64,
+}
+
+impl Session {
+    /// Starts the adapter; the first batch has to start the instance.
+    pub fn start() -> Session {
+        let mut adapter = start_adapter();
+        let input = adapter.stdin.take().unwrap();
+        let output = BufReader::new(adapter.stdout.take().unwrap());
+        Session {
+            adapter,
+            input,
+            output,
+            batches: 0,
+        }
+    }
+
+    /// Sends a batch at this time of the bench's clock. Returns the lines of its reply before the
+    /// acknowledgement.
+    pub fn exchange(&mut self, milliseconds: u32, lines: &[String]) -> Vec<String> {
+        self.batches += 1;
+        let number = self.batches;
+        let lines = lines.join("\n");
+        let batch = format!("MARK {milliseconds} {number}\nAT 0\n{lines}\nOVER_TO_YOU\n");
+        self.input.write_all(batch.as_bytes()).unwrap();
+        self.input.flush().unwrap();
+        let acknowledgement = format!("ACK {number}");
+        let mut reply = Vec::new();
+        loop {
+            let mut line = String::new();
+            self.output.read_line(&mut line).unwrap();
+            let line = line.trim_end().to_string();
+            if line == acknowledgement {
+                return reply;
+            }
+            assert!(!line.is_empty(), "the adapter ended: {reply:?}");
+            reply.push(line);
+        }
+    }
+}
+
+impl Drop for Session {
+    fn drop(&mut self) {
+        let _ = self.adapter.kill();
+        let _ = self.adapter.wait();
+    }
+}
