--- a/crates/snapshot/src/records/endpoint.rs
+++ b/crates/snapshot/src/records/endpoint.rs
@@ -19,7 +19,7 @@
     /// The build that it runs.
     #[serde(with = "build_number")]
     pub build: BuildNumber,
-    /// When it started; [`Timestamp::ZERO`] if it had started long before it was first listed.
+    /// When it started; [`Timestamp::ZERO`] if it has run for longer than it takes to warm up.
     #[serde(rename = "started", with = "unix_micros")]
     pub started_at: Timestamp,
 }
--- a/crates/snapshot/src/records/stored.rs
+++ b/crates/snapshot/src/records/stored.rs
@@ -1,62 +1,54 @@
 //! How values of the policy are stored: conversions between its types and the numbers and arrays
 //! of the file, for `#[serde(with = "…")]`.
 
-/// A `Timestamp` is stored as the number of microseconds since the Unix epoch.
-pub(super) mod unix_micros {
-    use serde::{Deserialize, Deserializer, Serializer};
-    use tidescale_policy::types::Timestamp;
+/// Declares a module that stores a type as a number.
+macro_rules! stored_as_number {
+    ($(#[$attributes:meta])* $module:ident, $value:ident, $number:ty, $get:ident, $new:ident) => {
+        $(#[$attributes])*
+        pub(super) mod $module {
+            use serde::{Deserialize, Deserializer, Serialize, Serializer};
+            use tidescale_policy::types::$value;
 
-    pub(in super::super) fn serialize<S: Serializer>(
-        time: &Timestamp,
-        serializer: S,
-    ) -> Result<S::Ok, S::Error> {
-        serializer.serialize_u64(time.as_micros())
-    }
-
-    pub(in super::super) fn deserialize<'de, D: Deserializer<'de>>(
-        deserializer: D,
-    ) -> Result<Timestamp, D::Error> {
-        u64::deserialize(deserializer).map(Timestamp::from_micros)
-    }
-}
-
-/// A `BuildNumber` is stored as its number.
-pub(super) mod build_number {
-    use serde::{Deserialize, Deserializer, Serializer};
-    use tidescale_policy::types::BuildNumber;
-
-    pub(in super::super) fn serialize<S: Serializer>(
-        build: &BuildNumber,
-        serializer: S,
-    ) -> Result<S::Ok, S::Error> {
-        serializer.serialize_u32(build.get())
-    }
+            pub(in super::super) fn serialize<S: Serializer>(
+                value: &$value,
+                serializer: S,
+            ) -> Result<S::Ok, S::Error> {
+                value.$get().serialize(serializer)
+            }
 
-    pub(in super::super) fn deserialize<'de, D: Deserializer<'de>>(
-        deserializer: D,
-    ) -> Result<BuildNumber, D::Error> {
-        u32::deserialize(deserializer).map(BuildNumber::new)
-    }
+            pub(in super::super) fn deserialize<'de, D: Deserializer<'de>>(
+                deserializer: D,
+            ) -> Result<$value, D::Error> {
+                <$number>::deserialize(deserializer).map($value::$new)
+            }
+        }
+    };
 }
 
-/// A `StageIndex` is stored as its number.
-pub(super) mod stage_index {
-    use serde::{Deserialize, Deserializer, Serializer};
-    use tidescale_policy::types::StageIndex;
-
-    pub(in super::super) fn serialize<S: Serializer>(
-        stage: &StageIndex,
-        serializer: S,
-    ) -> Result<S::Ok, S::Error> {
-        serializer.serialize_u32(stage.get())
-    }
-
-    pub(in super::super) fn deserialize<'de, D: Deserializer<'de>>(
-        deserializer: D,
-    ) -> Result<StageIndex, D::Error> {
-        u32::deserialize(deserializer).map(StageIndex::new)
-    }
-}
+stored_as_number!(
+    /// A `Timestamp` is stored as the number of microseconds since the Unix epoch.
+    unix_micros,
+    Timestamp,
+    u64,
+    as_micros,
+    from_micros
+);
+stored_as_number!(
+    /// A `BuildNumber` is stored as its number.
+    build_number,
+    BuildNumber,
+    u32,
+    get,
+    new
+);
+stored_as_number!(
+    /// A `StageIndex` is stored as its number.
+    stage_index,
+    StageIndex,
+    u32,
+    get,
+    new
+);
 
 /// Sums that belong together are stored as an array, in the order of the type's conversion.
 pub(super) mod array {
--- a/crates/snapshot/tests/scheduler.rs
+++ b/crates/snapshot/tests/scheduler.rs
@@ -39,6 +39,15 @@
             high,
         }
     }
+
+    /// With the job of high priority finished, and 20 ms more used than the budget of time.
+    fn with_time_overspent() -> TwoJobs {
+        let mut jobs = TwoJobs::new();
+        jobs.scheduler.finish(jobs.high, at(500));
+        jobs.scheduler
+            .record_time(Duration::from_millis(40), at(501));
+        jobs
+    }
 }
 
 #[test]
@@ -62,12 +71,9 @@
         mut scheduler,
         high,
         ..
-    } = TwoJobs::new();
-    scheduler.finish(high, at(500));
-
-    // 20 ms more than the budget, which are refilled within a second.
-    scheduler.record_time(Duration::from_millis(40), at(501));
+    } = TwoJobs::with_time_overspent();
 
+    // 20 ms are refilled within a second.
     assert_eq!(scheduler.next(at(900_000)), None);
     let wake_up = scheduler.next_wake_up(at(900_000)).unwrap();
     let expected = at(1_000_000)..at(1_000_700);
@@ -88,13 +94,7 @@
 
 #[test]
 fn steady_work_uses_the_budget_of_time_and_no_more() {
-    let TwoJobs {
-        mut scheduler,
-        high,
-        ..
-    } = TwoJobs::new();
-    scheduler.finish(high, at(500));
-    scheduler.record_time(Duration::from_millis(40), at(501));
+    let mut scheduler = TwoJobs::with_time_overspent().scheduler;
     scheduler.record_bytes(3_000_000, at(1_000_500));
 
     let slices = run_slices(&mut scheduler, at(10_000_000), 5 * SECOND);
--- a/crates/snapshot/tests/store.rs
+++ b/crates/snapshot/tests/store.rs
@@ -37,14 +37,20 @@
     ]
 }
 
+/// A directory with snapshot 1 in one generation, and these bytes in the other.
+fn directory_with_unreadable_generation(name: &str, bytes: &[u8]) -> TestDirectory {
+    let directory = TestDirectory::new(name);
+    let (mut store, _) = open_store(&directory.path);
+    store.save(at(1), records_of(1)).unwrap();
+    drop(store);
+    std::fs::write(directory.path.join("memory.1"), bytes).unwrap();
+    directory
+}
+
 #[test]
 fn unreadable_file_is_quarantined_and_the_other_generation_is_used() {
     for UnreadableFile { label, bytes } in unreadable_files() {
-        let directory = TestDirectory::new("unreadable");
-        let (mut store, _) = open_store(&directory.path);
-        store.save(at(1), records_of(1)).unwrap();
-        drop(store);
-        std::fs::write(directory.path.join("memory.1"), bytes).unwrap();
+        let directory = directory_with_unreadable_generation("unreadable", &bytes);
 
         let (store, opened) = open_store(&directory.path);
 
@@ -63,11 +69,7 @@
 #[test]
 fn store_saves_again_after_an_unreadable_file() {
     for UnreadableFile { label, bytes } in unreadable_files() {
-        let directory = TestDirectory::new("saves-again");
-        let (mut store, _) = open_store(&directory.path);
-        store.save(at(1), records_of(1)).unwrap();
-        drop(store);
-        std::fs::write(directory.path.join("memory.1"), bytes).unwrap();
+        let directory = directory_with_unreadable_generation("saves-again", &bytes);
         let (mut store, _) = open_store(&directory.path);
 
         store.save(at(2), records_of(2)).unwrap();
@@ -92,15 +94,20 @@
     assert!(quarantined.is_dir());
 }
 
+/// Opens a store with an unreadable file this many times.
+fn quarantine_files(directory: &TestDirectory, count: usize) {
+    for _ in 0..count {
+        std::fs::write(directory.path.join("memory.0"), "noise").unwrap();
+        open_store(&directory.path);
+    }
+}
+
 #[test]
 fn number_of_quarantined_files_is_limited() {
     let directory = TestDirectory::new("limited");
     std::fs::create_dir_all(&directory.path).unwrap();
 
-    for _ in 0..3 * MAX_QUARANTINED_FILES {
-        std::fs::write(directory.path.join("memory.0"), "noise").unwrap();
-        open_store(&directory.path);
-    }
+    quarantine_files(&directory, 3 * MAX_QUARANTINED_FILES);
 
     let mut disk = Directory::lock(&directory.path).unwrap();
     let names = disk.names().unwrap();
@@ -113,10 +120,7 @@
     let directory = TestDirectory::new("cleared");
     std::fs::create_dir_all(&directory.path).unwrap();
     std::fs::write(directory.path.join("notes.txt"), "mine").unwrap();
-    for _ in 0..3 * MAX_QUARANTINED_FILES {
-        std::fs::write(directory.path.join("memory.0"), "noise").unwrap();
-        open_store(&directory.path);
-    }
+    quarantine_files(&directory, 3 * MAX_QUARANTINED_FILES);
     let mut disk = Directory::lock(&directory.path).unwrap();
 
     let removed = store::clear(&mut disk).unwrap();
