--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -1,31 +1,31 @@
-//! Delivers one instance's events of one batch to its policy.
+//! Delivers the events of one instance and one batch to its policy.
 
-use tidescale_policy::Balancer;
-use tidescale_policy::host::EventSource;
+use tidescale_policy::{Balancer, EventSource};
 
 use crate::batch::EventLine;
 use crate::endpoint_list::EndpointListUpdate;
 use crate::error::AdapterError;
 use crate::event::Event;
+use crate::route_names::RouteNames;
 
-/// Parses and delivers lines in order, up to the first that cannot be understood.
+/// Parses and delivers lines in order, up to the first that cannot be parsed.
 pub struct LineEvents<'a> {
     event_lines: &'a [EventLine],
-    route_names: &'a [String],
+    routes: &'a RouteNames,
     error: Option<AdapterError>,
 }
 
 impl<'a> LineEvents<'a> {
-    /// Events for an instance whose settings name these routes.
-    pub fn new(event_lines: &'a [EventLine], route_names: &'a [String]) -> Self {
+    /// Events for an instance with these routes.
+    pub fn new(event_lines: &'a [EventLine], routes: &'a RouteNames) -> Self {
         LineEvents {
             event_lines,
-            route_names,
+            routes,
             error: None,
         }
     }
 
-    /// To be called after delivery: the error that ended it early, if one did.
+    /// To be called after delivery. Returns the error if delivery stopped before the last line.
     pub fn finish(self) -> Result<(), AdapterError> {
         match self.error {
             Some(error) => Err(error),
@@ -35,7 +35,7 @@
 
     fn deliver_all(&self, policy: &mut Balancer) -> Result<(), AdapterError> {
         for event_line in self.event_lines {
-            let event = Event::parse(event_line, self.route_names)?;
+            let event = Event::parse(event_line, self.routes)?;
             deliver_event(event, policy);
         }
         Ok(())
@@ -54,16 +54,9 @@
             request_id,
             request,
         } => policy.on_request(request_id, request),
-        Event::AttemptFinished {
-            request_id,
-            attempt_index,
-            result,
-        } => policy.on_attempt_result(request_id, attempt_index, result),
+        Event::AttemptFinished { attempt, result } => policy.on_attempt_result(attempt, result),
         Event::ClientDisconnected { request_id } => policy.on_client_disconnected(request_id),
-        Event::ResponseStarted {
-            request_id,
-            attempt_index,
-        } => policy.on_response_started(request_id, attempt_index),
+        Event::ResponseStarted { attempt } => policy.on_response_started(attempt),
         Event::HealthCheckFinished {
             endpoint,
             outcome,
