--- a/crates/policy/tests/policy/key_builds.rs
+++ b/crates/policy/tests/policy/key_builds.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn key_in_flight_at_a_later_build_is_not_sent_to_an_earlier_one_until_it_was_not_executed() {
+fn key_in_flight_at_a_later_build_is_sent_to_an_earlier_one_only_once_it_was_rejected() {
     let mut instance = instance_with_key_in_flight_at_candidate();
 
     let while_in_flight = instance.step(millis(1), |policy| {
