--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -108,7 +108,7 @@
 fn measure_harm(case: TrialCase) -> f64 {
     /// Keeps the share finite where nothing is served.
     const SMALLEST: f64 = 1e-9;
-    let first_second = case.size.seconds as usize - MEASURED_SECONDS;
+    let first_second = case.size.duration.as_secs() as usize - MEASURED_SECONDS;
     let served_share = |build: BuildBehavior| {
         let trial = TrialCase {
             build,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,23 +1,27 @@
-//! Endpoints, builds, the rollout platform, discovery and clients in virtual time, around the real policy.
+//! Endpoints, builds, the rollout platform, discovery and clients in virtual time, around the real
+//! policy.
 //!
-//! [`trial::run_trial`] runs one [`case::TrialCase`] and returns its [`outcome::TrialOutcome`]. It drives
-//! [`tidescale_policy::Balancer`] through the same two traits as the proxy does, and does no I/O.
+//! [`trial::run_trial`] runs one [`case::TrialCase`] and returns its [`outcome::TrialOutcome`]. It
+//! drives [`tidescale_policy::Balancer`] through the same two traits as the proxy does, and does no
+//! I/O.
 //!
 //! Invariants:
-//! - The same case gives the same outcome, to the bit, on every run and machine.
-//! - Each part of the model draws from a [`random_stream`] of its own. Cases that differ only in the behavior of the
-//!   build are therefore equal until that build is offered, and can be compared as a pair.
-//! - All ranges are this model's own; nothing in them is read off any deployment.
+//! - The same case gives the same outcome, to the bit, on every run and on every computer.
+//! - Each part of the model draws from its own [`random_stream`]. Cases that differ only in the
+//!   behavior of the build are therefore equal until that build is offered, and can be compared as
+//!   a pair.
+//! - All ranges belong to this model; none is measured at a deployment.
 //!
 //! Modules, lowest first; each imports only from those above it:
 //!
 //! | module | its one job |
 //! | --- | --- |
-//! | [`digest`], [`random_stream`], `parameters` | a digest over numbers; random draws; constants with their units |
-//! | [`build_behavior`], `endpoint`, `fleet` | what a build does; how an endpoint serves; which endpoint stands where |
-//! | [`confounder`], [`case`], [`outcome`] | what else goes wrong; what is run; what came of it |
-//! | `events`, `network` | what happens later, in order; messages and how long they take |
-//! | `rollout`, `clients`, `attempts` | the platform's stages and votes; requests; how an attempt ends |
+//! | [`digest`], `ids`, `parameters` | a digest over numbers; typed indexes; constants with their units |
+//! | [`random_stream`], [`build_behavior`] | random draws; what a build does to requests |
+//! | `endpoint`, `fleet` | how an endpoint serves; which endpoint serves in which slot |
+//! | [`confounder`], [`case`], [`outcome`] | trouble besides the build; what a trial runs; its result |
+//! | `events`, `network` | future events, in order; messages and how long they take |
+//! | `rollout`, `clients`, `attempts` | the platform's stages and votes; requests; the end of an attempt |
 //! | `environment` | the state of a trial, made of the parts above |
 //! | `settings`, `delivery`, `decisions`, `decision_digest` | the host side of the policy's interface |
 //! | [`trial`] | the run loop |
@@ -35,6 +39,7 @@
 mod environment;
 mod events;
 mod fleet;
+mod ids;
 mod network;
 pub mod outcome;
 mod parameters;
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,24 +1,26 @@
-//! The settings that an instance gets.
+//! The settings of the instances.
 
 use std::time::Duration;
 
 use tidescale_policy::settings::{Route, Settings};
+use tidescale_policy::types::HardwareClassIndex;
 
 use crate::case::{SettingsProfile, TrialCase};
-use crate::parameters::{ROUTES, STAGE_CAPS, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONES};
+use crate::ids::{InstanceIndex, ZoneIndex};
+use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONES};
 use crate::rollout::rollback_votes;
 
-/// Votes a second that the platform takes, for each instance: more than any casts.
+/// Votes a second that the platform takes for each instance; no instance casts as many.
 const VOTES_PER_SECOND_AND_INSTANCE: usize = 16;
 
-/// Settings of the instance with this index.
-pub(crate) fn instance_settings(case: TrialCase, index: usize) -> Settings {
+/// Settings of an instance.
+pub(crate) fn instance_settings(case: TrialCase, instance: InstanceIndex) -> Settings {
     let size = case.size;
     let strict = case.profile == SettingsProfile::Strict;
     Settings {
-        instance_index: index as u32,
+        instance_index: instance.get() as u32,
         instance_count: size.instances as u32,
-        zone: zone_name(index % ZONES),
+        zone: zone_name(ZoneIndex::new(instance.get() % ZONES)),
         routes: routes(),
         poll_endpoints: strict,
         max_poll_interval: if strict {
@@ -37,7 +39,7 @@
         warm_up_time: WARM_UP_TIME,
         overload_multiple: 2.0,
         overload_window: Duration::from_millis(1_500),
-        stage_caps: STAGE_CAPS.to_vec(),
+        stage_caps: STAGES.iter().map(|stage| stage.traffic_cap).collect(),
         exposure_allowance: 3.0,
         exposure_window: Duration::from_secs(4),
         exposure_by_route: strict,
@@ -52,13 +54,13 @@
     }
 }
 
-/// Name of a zone by its index.
-pub(crate) fn zone_name(zone: usize) -> String {
-    format!("z{zone}")
+/// Name of a zone.
+pub(crate) fn zone_name(zone: ZoneIndex) -> String {
+    format!("z{}", zone.get())
 }
 
-/// Name of a hardware class by its index.
-pub(crate) fn hardware_class_name(hardware_class: usize) -> String {
+/// Name of a hardware class.
+pub(crate) fn hardware_class_name(hardware_class: HardwareClassIndex) -> String {
     format!("k{hardware_class}")
 }
 
