--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -1,53 +1,55 @@
-//! New connections, and the room that others make for them.
+//! Accepting connections, and closing others to make room for them.
 
 use std::io;
 use std::net::TcpStream;
 
-use slog::{debug, warn};
-use tidescale_policy::Balancer;
+use slog::debug;
 
 use super::connection::ClientConnection;
 use super::stages::{Placement, Stage};
-use super::{Clients, RECENT};
-use crate::connection::{Component, Connection, IoContext, Owner};
+use super::{Clients, MIN_STAGE_AGE};
+use crate::connection::Connection;
+use crate::context::{Component, EventContext, IoContext, Owner};
+use crate::ids::ClientKey;
+use crate::log_lines;
 use crate::postgres::sqlstate;
 
-/// Connections accepted in one event-loop iteration, so that others are served too.
-const ACCEPTED_AT_ONCE: usize = 16;
+/// Most connections accepted in one event-loop iteration, so that others are served too.
+const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
-/// What is known of connections that have not been accepted. The event loop reports them once, when the first comes.
+/// Whether connections wait to be accepted. The event loop reports only the first of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
-    /// There are none.
+    /// None waits.
     Drained,
-    /// There may be some.
+    /// Some may wait.
     Ready,
-    /// There may be more than were accepted in this iteration.
+    /// This iteration has accepted as many as it may; more may wait.
     BatchTaken,
-    /// The system would not accept one; that is tried again in the next iteration, whenever it comes.
+    /// The system could not accept a connection. The next iteration tries again, whenever it is run.
     Failed,
 }
 
 impl Clients {
-    /// The event loop reports that clients connect.
+    /// The event loop reports that a client connects.
     pub fn on_accept_ready(&mut self) {
         if self.listener_state == ListenerState::Drained {
             self.listener_state = ListenerState::Ready;
         }
     }
 
-    /// Accepts connections while there are descriptors; over that, idle ones make room, never those in use.
-    pub fn accept(&mut self, context: &mut IoContext, policy: &mut Balancer) {
+    /// Accepts connections up to the limit. At the limit, connections without a request are closed to make room.
+    pub fn accept(&mut self, context: &mut EventContext<'_>) {
         if self.listener_state == ListenerState::Drained {
             return;
         }
         self.listener_state = ListenerState::Ready;
-        for _ in 0..ACCEPTED_AT_ONCE {
-            if self.connections.is_full() && !self.make_room(context, policy) {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
+            if self.connections.is_full() && !self.make_room(context) {
                 return;
             }
             match self.listener.accept() {
-                Ok((socket, _)) => self.add(socket, context),
+                Ok((socket, _)) => self.add(socket, context.io),
                 Err(error) if is_transient(&error) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.listener_state = ListenerState::Drained;
@@ -55,7 +57,7 @@
                 }
                 Err(error) => {
                     self.listener_state = ListenerState::Failed;
-                    warn!(context.log, "cannot accept"; "error" => %error);
+                    log_lines::accept_failed(&context.io.log, &error);
                     return;
                 }
             }
@@ -65,61 +67,59 @@
 
     fn add(&mut self, socket: TcpStream, context: &mut IoContext) {
         let accepted_in_shutdown = self.is_shutting_down;
-        let inserted = self.connections.insert(|key| {
-            let owner = Owner::new(Component::Client, key);
+        let inserted = self.connections.insert(|key: ClientKey| {
+            let owner = Owner::client(key);
             let connection = Connection::over(context, socket, owner, &context.clients_pool)?;
             Ok::<_, io::Error>(ClientConnection::new(connection, accepted_in_shutdown))
         });
         match inserted {
             Some(Ok(key)) => {
-                self.place(key, Stage::Opening, context);
-                // Its first request has mostly come with it.
+                self.set_stage(key, Stage::Opening, context);
+                // Most clients send their startup message with the connect.
                 self.pending.push(key);
             }
-            Some(Err(error)) => {
-                warn!(context.log, "cannot keep a client"; "error" => %error);
-            }
+            Some(Err(error)) => log_lines::client_registration_failed(&context.log, &error),
             None => {}
         }
     }
 
-    /// Closes the connection that is missed least, if any may be closed. Whether one was.
-    fn make_room(&mut self, context: &mut IoContext, policy: &mut Balancer) -> bool {
+    /// Closes the first connection in the order of eviction. Returns whether there was one.
+    fn make_room(&mut self, context: &mut EventContext<'_>) -> bool {
         let Some(Placement {
             stage, connection, ..
-        }) = self.least_missed(context)
+        }) = self.first_to_evict(context.io)
         else {
-            // One that has just come has a request on its way; soon it will be old enough to close.
-            context
-                .deadlines
-                .set(Owner::new(Component::Listener, 0), context.now + RECENT);
+            // All are too recent to be closed; try again as soon as one may be old enough.
+            let retry_at = context.io.now + MIN_STAGE_AGE;
+            let listener = Owner::only(Component::Listener);
+            context.io.deadlines.set(listener, retry_at);
             return false;
         };
-        debug!(context.log, "an idle client makes room");
+        debug!(context.io.log, "client evicted");
         if stage == Stage::ReceivingMessage
             && let Some(client) = self.connections.get_mut(connection)
         {
-            // Of what it sends nothing has been executed.
+            // The client must know that its incomplete message was not executed.
             client.refuse(sqlstate::TOO_MANY_CONNECTIONS, "too many connections");
             let _ = client.connection.flush();
         }
-        self.close(connection, context, policy);
+        self.close(connection, context);
         true
     }
 
-    fn least_missed(&self, context: &IoContext) -> Option<Placement> {
-        let latest = context.now - RECENT;
-        // What has come since a connection was served last is looked at first.
+    fn first_to_evict(&self, context: &IoContext) -> Option<Placement> {
+        let latest = context.now - MIN_STAGE_AGE;
+        // A connection that has received bytes since it was last served is served before it may be closed.
         let has_sent_nothing = |placement: &Placement| {
             self.connections
                 .get(placement.connection)
                 .is_some_and(|client| client.is_closing() || client.connection.is_silent())
         };
-        self.stages.least_missed(latest).find(has_sent_nothing)
+        self.stages.eviction_order(latest).find(has_sent_nothing)
     }
 }
 
-/// The next connection may be accepted all the same.
+/// The failure concerns one connection only; the next one can be accepted.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -1,24 +1,24 @@
-//! When the bytes of a connection came. A request's time runs from the arrival of its last byte, also while it waits
-//! behind another request. No I/O.
+//! When the bytes of a connection were received. The time of a request starts with its last byte, even while it waits
+//! behind another request of the same connection. No I/O.
 
 use std::collections::VecDeque;
 
 use tidescale_policy::types::Timestamp;
 
-/// So many arrival times are kept for one connection; more come only where a client sends a few bytes at a time.
+/// Most arrival times kept for one connection. More are needed only if a client sends a few bytes at a time.
 const MAX_MARKS: usize = 256;
 
-/// Bytes that came by one time.
+/// Bytes received until one time.
 struct Mark {
-    /// All bytes that had come by then, counted from the connection's first.
+    /// All bytes received by then, since the start of the connection.
     received: u64,
     at: Timestamp,
 }
 
-/// Arrival times of the bytes that a connection has received and not yet used.
+/// Arrival times of the bytes that were received and not yet used.
 ///
-/// Marks are in order of both bytes and time, and there are at most 256 of them: what comes beyond that counts as come
-/// with the last mark, so that a request's time may start too early but never too late.
+/// Marks are in the order of both bytes and time. Bytes received after the last possible mark count as received at that
+/// mark, so that the time of a request may start too early but never too late.
 #[derive(Default)]
 pub struct Arrivals {
     marks: VecDeque<Mark>,
@@ -27,7 +27,7 @@
 }
 
 impl Arrivals {
-    /// Notes that so many more bytes have come.
+    /// Records that `count` more bytes were received.
     pub fn record(&mut self, count: usize, now: Timestamp) {
         if count == 0 {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Uses up the next `count` bytes and gives the time at which the last of them came; `now` where that is unknown.
+    /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is unknown.
     pub fn take(&mut self, count: usize, now: Timestamp) -> Timestamp {
         self.used += count as u64;
         while self
--- /dev/null
+++ b/crates/proxy/src/clients/reading.rs
@@ -0,0 +1,142 @@
+//! Reading from the connections of clients and handling what was received.
+
+use std::io;
+use std::ops::ControlFlow;
+
+use super::messages::MessageStep;
+use super::requests::ReceivedQuery;
+use super::stages::Stage;
+use super::{Clients, MIN_STAGE_AGE};
+use crate::buffers::Fill;
+use crate::context::{EventContext, IoContext};
+use crate::ids::ClientKey;
+use crate::log_lines;
+use crate::postgres::{self, ProtocolError, sqlstate};
+
+/// Most reads from one connection in one event-loop iteration, so that others are served too.
+const MAX_READS_PER_ITERATION: usize = 4;
+
+impl Clients {
+    /// Reads what a client has sent and passes its requests to the policy.
+    pub fn serve(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
+        for _ in 0..MAX_READS_PER_ITERATION {
+            if self.serve_once(key, context).is_break() {
+                break;
+            }
+        }
+        self.settle(key, context);
+    }
+
+    /// Reads once and handles what was received. Continues if there may be more to read.
+    fn serve_once(&mut self, key: ClientKey, context: &mut EventContext<'_>) -> ControlFlow<()> {
+        self.flush_before_read(key, context)?;
+        let Ok(fill) = self.read(key, context.io) else {
+            self.close(key, context);
+            return ControlFlow::Break(());
+        };
+        if fill == Fill::Starved {
+            self.starved.push(key);
+            self.free_buffers(key, context);
+        }
+        if let Err(error) = self.handle_messages(key, context) {
+            log_lines::invalid_client_message(&context.io.log, &error);
+            self.refuse(key, sqlstate::PROTOCOL_VIOLATION, &error.to_string());
+        }
+        let may_read_on = self
+            .connections
+            .get(key)
+            .is_some_and(|client| client.takes_messages() && client.connection.has_more());
+        if may_read_on && fill != Fill::Starved {
+            ControlFlow::Continue(())
+        } else {
+            ControlFlow::Break(())
+        }
+    }
+
+    /// Writes pending output. Continues if the connection is to be read: a disconnected client reads no response,
+    /// whatever it has sent, and the input of a closing connection is discarded.
+    fn flush_before_read(
+        &mut self,
+        key: ClientKey,
+        context: &mut EventContext<'_>,
+    ) -> ControlFlow<()> {
+        let Some(client) = self.connections.get_mut(key) else {
+            return ControlFlow::Break(());
+        };
+        if client.connection.flush().is_err() {
+            self.close(key, context);
+            return ControlFlow::Break(());
+        }
+        if !client.is_closing() {
+            return ControlFlow::Continue(());
+        }
+        if client.discard_input() {
+            self.close(key, context);
+        }
+        ControlFlow::Break(())
+    }
+
+    /// Reads what a client has sent; the end of its stream is an error.
+    fn read(&mut self, key: ClientKey, context: &IoContext) -> io::Result<Fill> {
+        let Some(client) = self.connections.get_mut(key) else {
+            return Err(io::ErrorKind::NotFound.into());
+        };
+        let bytes_wanted = client.bytes_wanted(&context.clients_pool);
+        let length_before = client.connection.input.len();
+        let read = client.connection.read(bytes_wanted);
+        let count = client.connection.input.len() - length_before;
+        client.arrivals.record(count, context.now);
+        match read? {
+            Fill::Ended => Err(io::ErrorKind::UnexpectedEof.into()),
+            // The end of the stream may be behind more bytes than are read ahead.
+            Fill::Enough if client.connection.has_hung_up() => {
+                Err(io::ErrorKind::UnexpectedEof.into())
+            }
+            fill => Ok(fill),
+        }
+    }
+
+    /// Refuses the connection that has held buffers for an incomplete message for longest.
+    fn free_buffers(&mut self, starved: ClientKey, context: &mut EventContext<'_>) {
+        let latest = context.io.now - MIN_STAGE_AGE;
+        let longest = self
+            .stages
+            .in_stage_before(Stage::ReceivingMessage, latest)
+            .find(|key| *key != starved);
+        if let Some(key) = longest {
+            log_lines::client_buffers_exhausted(&context.io.log);
+            // The rest of the message may be unread: the client must know that it was not executed.
+            let code = sqlstate::TOO_MANY_CONNECTIONS;
+            self.refuse(key, code, "too many unfinished messages");
+            self.settle(key, context);
+        }
+    }
+
+    /// Handles messages in their order up to the next request, which has to be answered first.
+    fn handle_messages(
+        &mut self,
+        key: ClientKey,
+        context: &mut EventContext<'_>,
+    ) -> Result<(), ProtocolError> {
+        let mut body = Vec::new();
+        while let Some(client) = self
+            .connections
+            .get_mut(key)
+            .filter(|client| client.takes_messages())
+        {
+            match client.handle_message(&mut body, context.io.now)? {
+                MessageStep::Incomplete => return Ok(()),
+                MessageStep::Handled => {}
+                MessageStep::Query { arrived_at } => {
+                    let text = postgres::query(&body)?;
+                    if text.trim().is_empty() {
+                        client.answer_empty_query();
+                    } else {
+                        self.handle_query(key, ReceivedQuery { text, arrived_at }, context);
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -1,4 +1,4 @@
-//! In which stage each client connection is and since when, in the order in which connections make room for others.
+//! What each connection waits for and since when, in the order in which connections are closed to free resources.
 //! No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,39 +6,40 @@
 
 use tidescale_policy::types::Timestamp;
 
-/// After an error the connection stays open so long for the client to read it.
+use crate::ids::{ClientKey, SlotKey};
+
+/// How long a connection stays open after an error, so that the client can read it.
 const CLOSING_LIMIT: Duration = Duration::from_millis(1000);
-/// A connection has so long to open, and again as long to send its first request.
+/// Time limit for the startup message, and again for the first request.
 const OPENING_LIMIT: Duration = Duration::from_millis(2000);
-/// A client's own connections are limited too: one that stays idle for so long is closed.
+/// Time limit between requests. Clients hold a limited number of connections, too.
 const IDLE_LIMIT: Duration = Duration::from_millis(2200);
-/// Each message has so long from its first byte to its last.
+/// Time limit from the first byte of a message to its last.
 const MESSAGE_LIMIT: Duration = Duration::from_millis(2400);
-/// A client that takes nothing of its answer for so long has gone.
+/// A client that reads nothing of its response for this long counts as disconnected.
 pub const WRITING_LIMIT: Duration = Duration::from_millis(10_000);
 
-/// What a connection waits for. The order of the stages decides which connection makes room for another: the earlier
-/// ones are missed less.
+/// What a connection waits for, in the order of eviction: connections in earlier stages are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It closes once its error has been read.
+    /// The client has to read an error before the connection closes.
     Closing,
-    /// Its startup message has not come.
+    /// The startup message.
     Opening,
-    /// It is open, and no message has come.
+    /// The first message after the startup.
     AwaitingFirstRequest,
-    /// It is open between requests.
+    /// The next request.
     Idle,
-    /// A message has begun and is not whole: the rest of it may be on its way.
+    /// The rest of an incomplete message, which may be in transit.
     ReceivingMessage,
-    /// Answers wait until the client takes them.
+    /// The client has to read responses.
     Writing,
-    /// Its request is pending.
+    /// The response to the pending request.
     AwaitingResponse,
 }
 
 impl Stage {
-    /// How long a connection may stay in it; none where the end is not the client's to bring about.
+    /// How long a connection may stay in the stage; `None` if the client cannot end it.
     pub const fn time_limit(self) -> Option<Duration> {
         match self {
             Stage::Closing => Some(CLOSING_LIMIT),
@@ -51,32 +52,33 @@
     }
 }
 
-/// A connection's stage. Placements order by stage, then time, then connection.
+/// The stage of a connection. Placements are ordered by stage, then time, then connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Placement {
     /// The stage.
     pub stage: Stage,
-    /// When the connection came into it.
+    /// When the connection entered it.
     pub since: Timestamp,
-    /// The connection's number.
-    pub connection: u64,
+    /// The connection.
+    pub connection: ClientKey,
 }
 
 /// All connections by stage and time.
 ///
-/// Each connection has at most one placement, which stands in both maps; `idle_count` counts those in
-/// [`Stage::Idle`]. A stage is the one that was noted last: it can be behind what the connection has done since.
+/// Invariants: each connection has at most one placement, which is in both maps; `idle_count` is the number of
+/// placements in [`Stage::Idle`]. A placement is the stage recorded last, which may be older than the state of the
+/// connection.
 #[derive(Default)]
-pub struct StageIndex {
+pub struct ConnectionsByStage {
     in_order: BTreeSet<Placement>,
-    by_connection: BTreeMap<u64, Placement>,
+    by_connection: BTreeMap<ClientKey, Placement>,
     idle_count: usize,
 }
 
-impl StageIndex {
-    /// Notes a connection's stage. Whether it is another one than before, or the first: only then does its time count
-    /// from `now`.
-    pub fn place(&mut self, connection: u64, stage: Stage, now: Timestamp) -> bool {
+impl ConnectionsByStage {
+    /// Records the stage of a connection. Returns whether it differs from the previous one; only then the time in the
+    /// stage starts at `now`.
+    pub fn record(&mut self, connection: ClientKey, stage: Stage, now: Timestamp) -> bool {
         if self
             .get(connection)
             .is_some_and(|earlier| earlier.stage == stage)
@@ -95,16 +97,16 @@
         true
     }
 
-    /// Forgets a connection.
-    pub fn remove(&mut self, connection: u64) {
+    /// Removes a connection.
+    pub fn remove(&mut self, connection: ClientKey) {
         if let Some(placement) = self.by_connection.remove(&connection) {
             self.in_order.remove(&placement);
             self.idle_count -= usize::from(placement.stage == Stage::Idle);
         }
     }
 
-    /// A connection's placement.
-    pub fn get(&self, connection: u64) -> Option<Placement> {
+    /// The placement of a connection.
+    pub fn get(&self, connection: ClientKey) -> Option<Placement> {
         self.by_connection.get(&connection).copied()
     }
 
@@ -113,9 +115,9 @@
         self.idle_count
     }
 
-    /// Connections that may make room for another, the one missed least first: those that close anyway, then those
-    /// with nothing pending that have been in their stage since `latest` or longer.
-    pub fn least_missed(&self, latest: Timestamp) -> impl Iterator<Item = Placement> {
+    /// Connections that may be closed for another one, the first to close first: those that close anyway, then those
+    /// without a pending request that have been in their stage since `latest` or longer.
+    pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = Placement> {
         self.in_order
             .iter()
             .take_while(|placement| placement.stage <= Stage::ReceivingMessage)
@@ -123,12 +125,16 @@
             .copied()
     }
 
-    /// Connections that came into a stage before a time, the earliest first.
-    pub fn in_stage_before(&self, stage: Stage, before: Timestamp) -> impl Iterator<Item = u64> {
+    /// Connections that entered a stage before a time, the earliest first.
+    pub fn in_stage_before(
+        &self,
+        stage: Stage,
+        before: Timestamp,
+    ) -> impl Iterator<Item = ClientKey> {
         let first = Placement {
             stage,
             since: Timestamp::ZERO,
-            connection: 0,
+            connection: SlotKey::new(0).into(),
         };
         let end = Placement {
             since: before,
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -1,6 +1,6 @@
-//! All deadlines of the process, in one ordered table without I/O.
+//! All deadlines of the process in one ordered table, without I/O.
 //!
-//! An owner has at most one deadline: both indexes always hold the same pairs.
+//! Invariant: an owner has at most one deadline, and both indexes hold the same pairs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,26 +22,27 @@
 }
 
 impl<Owner: Copy + Ord> Deadlines<Owner> {
-    /// Sets the owner's deadline, in place of an earlier one.
+    /// Sets the deadline of an owner and replaces an earlier one.
     pub fn set(&mut self, owner: Owner, at: Timestamp) {
         self.clear(owner);
         self.by_time.insert((at, owner));
         self.by_owner.insert(owner, at);
     }
 
-    /// Takes the owner's deadline back, if it has one.
+    /// Removes the deadline of an owner, if it has one.
     pub fn clear(&mut self, owner: Owner) {
         if let Some(at) = self.by_owner.remove(&owner) {
             self.by_time.remove(&(at, owner));
         }
     }
 
-    /// The earliest deadline.
+    /// The time of the earliest deadline.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the earliest deadline that has passed at `now`; of two at one time, the lesser owner's first.
+    /// Removes the earliest deadline that has expired by `now`, and returns its owner. Of deadlines at the same time
+    /// the lowest owner comes first.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<Owner> {
         let (at, owner) = *self.by_time.first()?;
         if at > now {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,46 +1,47 @@
-//! The endpoint list, as a stream that always stands: keeps its version and passes changes on to the policy and to the
-//! endpoints' connections.
+//! The endpoint list, received over a persistent stream. Tracks its version and passes changes on to the policy and to
+//! the connections to endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use calloop::Readiness;
-use slog::info;
-use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
 
-use crate::connection::{Component, IoContext};
+use crate::context::{Component, EventContext, IoContext};
 use crate::endpoint_list::{self, EndpointList};
+use crate::ids::SlotKey;
+use crate::log_lines;
 use crate::stream::{LineError, PersistentStream, StreamTimeouts};
-use crate::upstream::Upstream;
+use crate::upstream::{EndpointListing, Upstream};
 
-/// Three of the empty lines that come while nothing changes.
+/// Three intervals of the keep-alive lines that discovery sends while nothing changes.
 const SILENCE: Duration = Duration::from_millis(6000);
-/// One service for all instances takes few calls a second, and has them wait in turn: whoever gives up early has had the
-/// work done in vain, and asks for it again. An instance counts as notified of what it misses 6 s after its stream has
-/// fallen silent.
+/// One service for all instances accepts few calls a second and queues the others. A client that gives up early causes
+/// a retry storm: the service does its work in vain and is called again. An instance is held to what the service has
+/// sent 6 s after its stream fell silent.
 const SHARED_SERVICE: StreamTimeouts = StreamTimeouts {
     silence: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
 };
-/// An agent on this instance's host responds at once and for nothing. After a silence the instance counts as notified
-/// at once of all that the agent has got: a response's start and a backoff together stay under the grace period.
+/// An agent on the host of this instance responds immediately and without cost. After a silence the instance is held
+/// immediately to everything that the agent knows: the start of a response and a backoff together have to stay below
+/// the grace period.
 const LOCAL_AGENT: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
     max_backoff: Duration::from_millis(200),
     ..StreamTimeouts::responsive_server(SILENCE)
 };
-/// What discovery has to send arrives within this, by whichever way.
+/// A change of the list arrives within this time over each of the streams.
 const PROPAGATION_TIME: Duration = Duration::from_millis(6000);
 
-/// Who serves the endpoint list.
+/// The server of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// An agent on this instance's host, which pushes changes.
+    /// An agent on the host of this instance, which pushes changes.
     LocalAgent,
-    /// One service for all instances, which has to be asked.
+    /// One service for all instances, which has to be polled.
     SharedService,
 }
 
@@ -53,23 +54,23 @@
     }
 }
 
-/// Which list is known, and since when.
+/// The version of the current list, and since when it is current.
 #[derive(Default)]
 struct ListProgress {
     version: u64,
     /// When discovery last confirmed the list; the origin of time if it never has.
     confirmed_at: Timestamp,
-    /// When its version last changed.
+    /// When the version last changed.
     changed_at: Timestamp,
 }
 
 impl ListProgress {
-    /// Whether a list counts. Two streams stand side by side for a while, and what one of them delivers may be behind
-    /// the other. Only a complete list is believed that stays behind: then discovery has begun to count anew.
+    /// Whether a list is applied. During a hand-over between two streams, one of them may deliver older versions.
+    /// A complete list that is still older after the propagation time is accepted: discovery has restarted its count.
     fn accepts(&self, list: &EndpointList, now: Timestamp) -> bool {
-        let is_behind = list.version < self.version;
+        let is_older = list.version < self.version;
         let has_settled = now >= self.changed_at + PROPAGATION_TIME;
-        !is_behind || list.is_complete && has_settled
+        !is_older || list.is_complete && has_settled
     }
 
     fn advance(&mut self, version: u64, now: Timestamp) {
@@ -80,7 +81,7 @@
     }
 }
 
-/// The endpoint list's stream and what is known of the list.
+/// The stream of the endpoint list and the version of the list.
 pub struct Discovery {
     stream: PersistentStream,
     list: ListProgress,
@@ -96,19 +97,18 @@
         }
     }
 
-    /// Takes the list that this instance last had; it serves until the stream delivers.
+    /// Applies the list in the configuration, which is used until the stream delivers one.
     pub fn apply_known_list(
         &mut self,
-        known: &EndpointList,
-        context: &mut IoContext,
+        list: &EndpointList,
         upstream: &mut Upstream,
-        policy: &mut Balancer,
+        context: &mut EventContext<'_>,
     ) {
-        self.list.version = known.version;
-        apply(known, context, upstream, policy);
+        self.list.version = list.version;
+        apply(list, upstream, context);
     }
 
-    /// The list's version.
+    /// The version of the current list.
     pub fn list_version(&self) -> u64 {
         self.list.version
     }
@@ -122,72 +122,62 @@
         format!("/discovery/hosts?follow=1&since={}", self.list.version)
     }
 
-    /// Opens the stream where the list stands.
+    /// Opens the stream from the current version on.
     pub fn open(&mut self, context: &mut IoContext) {
         self.stream.open(&self.path(), context);
     }
 
-    /// Moves to another address; returns whether it is another one.
+    /// Moves to another address. Returns whether it differs from the current one.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) -> bool {
         self.stream.change_address(address, &self.path(), context)
     }
 
-    /// A deadline of the stream's is due.
-    pub fn on_deadline(&mut self, slot: u64, context: &mut IoContext) {
+    /// A deadline of the stream has expired.
+    pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) {
         if self.stream.on_deadline(slot, context) {
             self.open(context);
         }
     }
 
-    /// A socket of the stream's has become ready.
-    pub fn on_ready(&mut self, slot: u64, readiness: Readiness) {
+    /// A socket of the stream became ready.
+    pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         self.stream.on_ready(slot, readiness);
     }
 
-    /// Reads what has come and applies the lists in it.
-    pub fn serve(
-        &mut self,
-        context: &mut IoContext,
-        upstream: &mut Upstream,
-        policy: &mut Balancer,
-    ) {
+    /// Reads from the stream and applies the lists received.
+    pub fn serve(&mut self, upstream: &mut Upstream, context: &mut EventContext<'_>) {
         let progress = &mut self.list;
-        let on_line = |line: &str, partial: &mut String, context: &mut IoContext| {
-            progress.confirmed_at = context.now;
+        let policy = &mut *context.policy;
+        let on_line = |line: &str, partial: &mut String, io: &mut IoContext| {
+            progress.confirmed_at = io.now;
             let Some(list) = endpoint_list::add_line(partial, line)? else {
                 return Ok::<(), LineError>(());
             };
-            if progress.accepts(&list, context.now) {
-                progress.advance(list.version, context.now);
-                apply(&list, context, upstream, policy);
+            if progress.accepts(&list, io.now) {
+                progress.advance(list.version, io.now);
+                apply(&list, upstream, &mut EventContext { io, policy });
             } else {
-                info!(context.log, "ignored an endpoint list that is behind";
-                    "version" => list.version, "known" => progress.version);
+                let current_version = progress.version;
+                log_lines::stale_endpoint_list_ignored(&io.log, list.version, current_version);
             }
             Ok(())
         };
-        self.stream.serve(context, on_line);
+        self.stream.serve(context.io, on_line);
     }
 }
 
-/// Notifies the policy, and the connections of where the endpoints are.
-fn apply(
-    list: &EndpointList,
-    context: &mut IoContext,
-    upstream: &mut Upstream,
-    policy: &mut Balancer,
-) {
+/// Notifies the policy of the listed endpoints, and updates the connections to them.
+fn apply(list: &EndpointList, upstream: &mut Upstream, context: &mut EventContext<'_>) {
     if list.is_complete {
-        policy.on_complete_endpoint_list();
+        context.policy.on_complete_endpoint_list();
         for name in upstream.endpoint_names() {
             if !list.contains(&name) {
-                upstream.update_endpoint(&name, None, false, context);
+                upstream.update_endpoint(&name, EndpointListing::Removed, context.io);
             }
         }
     }
     for endpoint in &list.endpoints {
-        let process = endpoint.process();
-        upstream.update_endpoint(&endpoint.name, process, endpoint.is_ready(), context);
-        policy.on_endpoint(endpoint.entry());
+        upstream.update_endpoint(&endpoint.name, endpoint.listing(), context.io);
+        context.policy.on_endpoint(endpoint.entry());
     }
 }
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -2,23 +2,24 @@
 
 use std::net::SocketAddr;
 
-use serde::Deserialize;
-use tidescale_policy::types::{EndpointEntry, EndpointState, Timestamp};
+use serde::{Deserialize, Deserializer};
+use tidescale_policy::types::{BuildNumber, EndpointEntry, EndpointState, Timestamp};
 
-use crate::upstream::ProcessIdentity;
+use crate::upstream::{EndpointListing, ProcessIdentity};
 
+/// The longest list, in bytes.
 const MAX_LIST: usize = 4 * 1024 * 1024;
 
 /// Why a list cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// A sign of life came where the rest of a list should have.
+    /// A keep-alive line was received before the end of a list.
     #[error("a list without its end")]
     Unterminated,
-    /// A list that does not end.
+    /// A list longer than the limit.
     #[error("a list too long")]
     TooLong,
-    /// A list of another form.
+    /// Not valid JSON, or a field is missing or invalid.
     #[error(transparent)]
     Form(#[from] serde_json::Error),
 }
@@ -26,9 +27,9 @@
 /// A list of endpoints, or those that have changed.
 #[derive(Deserialize)]
 pub struct EndpointList {
-    /// Grows with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// Endpoints that it does not name are gone; otherwise they are unchanged.
+    /// It names all endpoints: those that it does not name have been removed. Otherwise those are unchanged.
     #[serde(rename = "full")]
     pub is_complete: bool,
     /// The endpoints.
@@ -50,8 +51,8 @@
     cell: u64,
     state: ListedState,
     started_ms: f64,
-    #[serde(rename = "image_id")]
-    build: u32,
+    #[serde(rename = "image_id", deserialize_with = "build_number")]
+    build: BuildNumber,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -72,34 +73,34 @@
 }
 
 impl ListedEndpoint {
-    /// Whether it takes new requests.
-    pub fn is_ready(&self) -> bool {
-        self.state == ListedState::Ready
-    }
-
-    /// The process that runs there; none where it has been removed. One that drains may still be health checked.
-    pub fn process(&self) -> Option<ProcessIdentity> {
-        (self.state != ListedState::Removed).then(|| ProcessIdentity {
+    /// Its state, and its process unless it has been removed.
+    pub fn listing(&self) -> EndpointListing {
+        let process = ProcessIdentity {
             address: self.address,
-            build: self.build.into(),
+            build: self.build,
             started_at: self.started_at(),
-        })
+        };
+        match self.state {
+            ListedState::Ready => EndpointListing::Ready(process),
+            ListedState::Draining => EndpointListing::Draining(process),
+            ListedState::Removed => EndpointListing::Removed,
+        }
     }
 
-    /// None where the list says 0 or less: it has run for long.
+    /// `None` for a start time of 0 or less: the process has run for longer than it takes to warm up.
     fn started_at(&self) -> Option<Timestamp> {
         let micros = (self.started_ms.max(0.0) * 1000.0) as u64;
         (micros > 0).then(|| Timestamp::from_micros(micros))
     }
 
-    /// As the policy takes it.
+    /// The entry for the policy.
     pub fn entry(&self) -> EndpointEntry<'_> {
         EndpointEntry {
             name: &self.name,
             zone: &self.zone,
             cell: self.cell,
             hardware_class: &self.hardware_class,
-            build: self.build.into(),
+            build: self.build,
             state: match self.state {
                 ListedState::Ready => EndpointState::Ready,
                 ListedState::Draining => EndpointState::Draining,
@@ -110,12 +111,12 @@
     }
 }
 
-/// Adds a line to what has come of a list; returns the list once it is whole and leaves `partial` empty then. A list may
-/// come over many lines, and is parsed once. An empty line is a sign of life and stands between lists.
+/// Adds a line to the lines of a list received so far. Returns the list once it is complete, and clears `partial` then.
+/// A list may consist of many lines and is parsed once. An empty line is a keep-alive between lists.
 ///
 /// # Errors
 ///
-/// Where the list cannot be used; the stream that it came from is of no more use.
+/// The list is invalid; the stream has to be closed.
 pub fn add_line(
     partial: &mut String,
     line: &str,
@@ -141,9 +142,9 @@
     Ok(Some(list))
 }
 
-/// Whether the text, which ends with this line, can be a whole object: each brace that it opens is closed.
+/// Whether the text, which ends with this line, can be a complete object: each opened brace is closed.
 fn ends_object(last_line: &str, text: &str) -> bool {
-    // Only what closes the outermost brace ends a list; of a long one most lines do not even end with a brace.
+    // A cheap check first: most lines of a long list do not end with a brace.
     if !last_line.trim_end().ends_with('}') && text.starts_with('{') {
         return false;
     }
@@ -162,3 +163,7 @@
     }
     depth == 0
 }
+
+fn build_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BuildNumber, D::Error> {
+    u32::deserialize(deserializer).map(BuildNumber::new)
+}
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: each iteration waits, delivers what has become ready to the policy, carries out its decisions, and
-//! lets the snapshot writer gather a slice.
+//! The event loop. Each iteration waits for events, delivers them to the policy, carries out its decisions, and lets
+//! the snapshot writer collect a slice.
 
 use std::cell::RefCell;
 use std::io;
@@ -9,87 +9,82 @@
 
 use calloop::EventLoop;
 use calloop::signals::{Event, Signal, Signals};
-use slog::{Logger, info, warn};
+use slog::Logger;
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::connection::{IoContext, TurnEvents};
+use crate::context::{IoContext, ReadyEvents};
 use crate::deadlines::Deadlines;
+use crate::log_lines::{self, RestoredSnapshot};
 use crate::operators::Operators;
-use crate::proxy::{Decisions, IterationEvents, Proxy, StartEvents};
+use crate::proxy::{Decisions, IterationEvents, Proxy, ProxyError, StartEvents};
 use crate::resource_budget::BufferBudget;
 use crate::snapshot_writer::{self, SnapshotWriter};
 
-/// An iteration that starts so much later than it was due is logged.
-const LATE_ITERATION: Duration = Duration::from_millis(50);
+/// An iteration that starts this long after its deadline is logged.
+const MAX_ITERATION_DELAY: Duration = Duration::from_millis(50);
 
-/// Why the loop could not start or go on.
+/// Why the event loop could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
     /// The system offers no event queue, or it failed.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// Signals cannot be awaited.
+    /// Signals cannot be received.
     #[error("signals: {0}")]
     Signals(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The address that clients connect to cannot be taken.
+    /// The address for clients cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The listening socket cannot be used.
-    #[error("listener: {0}")]
-    Listener(#[source] io::Error),
-    /// The configured limit leaves no descriptor for clients or endpoints.
-    #[error("limits: {limit} sockets are too few")]
-    TooFewDescriptors {
-        /// The configured limit.
-        limit: usize,
-    },
+    /// The components cannot be set up.
+    #[error(transparent)]
+    Proxy(#[from] ProxyError),
 }
 
-/// Whether the loop goes on after an iteration.
+/// Whether the loop continues after an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopState {
-    /// It does.
+    /// It continues.
     Running,
     /// The proxy has drained after SIGTERM.
     Finished,
 }
 
-/// When an iteration is due.
+/// When the next iteration starts unless events come before.
 struct Schedule {
     /// The earliest deadline.
     next_deadline: Option<Timestamp>,
-    /// How long to wait for events; without end if none.
+    /// How long to wait for events; `None` for no limit.
     timeout: Option<Duration>,
 }
 
 /// A proxy instance, from its first iteration to its last.
 pub struct ProxyInstance {
-    event_loop: EventLoop<'static, TurnEvents>,
-    events: TurnEvents,
+    event_loop: EventLoop<'static, ReadyEvents>,
+    events: ReadyEvents,
     clock: Clock,
     proxy: RefCell<Proxy>,
     /// The policy that decides.
     pub policy: Balancer,
     snapshot_writer: Option<SnapshotWriter>,
-    /// Since the first iteration.
+    /// Duration of the longest iteration so far.
     longest_iteration: Duration,
 }
 
 impl ProxyInstance {
-    /// Starts an instance and runs its first iteration. `config_path` is where the configuration is read again at
-    /// SIGHUP. `listen` is called once signals are awaited: from then on whoever connects has to be answered.
+    /// Starts an instance and runs its first iteration. The configuration is read again from `config_path` at SIGHUP.
+    /// `listen` is called after signals have been set up: clients that connect from then on are always answered.
     ///
     /// # Errors
     ///
-    /// Where the system refuses an event queue, signals or the listening socket, or the limits are too narrow.
+    /// The system refuses an event queue, signals or the listening socket, or the limits are too low.
     pub fn new(
         config: &Config,
         config_path: PathBuf,
@@ -97,7 +92,7 @@
         log: Logger,
     ) -> Result<ProxyInstance, EventLoopError> {
         let event_loop = EventLoop::try_new().map_err(EventLoopError::EventLoop)?;
-        await_signals(&event_loop)?;
+        receive_signals(&event_loop)?;
         let listener = listen().map_err(|source| EventLoopError::Listen {
             address: config.listen,
             source,
@@ -117,7 +112,7 @@
         let proxy = Proxy::new(config, config_path, listener, context)?;
         let mut instance = ProxyInstance {
             event_loop,
-            events: TurnEvents::default(),
+            events: ReadyEvents::default(),
             clock,
             proxy: RefCell::new(proxy),
             policy: Balancer::new(config.settings.clone(), config.seed, now),
@@ -128,8 +123,8 @@
         Ok(instance)
     }
 
-    /// Restores what an earlier process has learned, as far as it still counts, and keeps snapshots from now on; does
-    /// nothing where the operators' file names no folder for them.
+    /// Restores what an earlier process has learned, as far as it still counts, and writes snapshots from now on. Does
+    /// nothing if the operators' file names no folder for snapshots.
     pub fn enable_snapshots(&mut self, operators: &Operators) {
         let Some(settings) = &operators.snapshot else {
             return;
@@ -144,9 +139,12 @@
         if let Some(snapshot) = snapshot {
             let restored =
                 snapshot_writer::restore(&snapshot, &proxy.directory(), now, &mut self.policy);
-            let age = now - snapshot.written_at;
-            info!(log, "snapshot restored";
-                "records" => snapshot.records.len(), "restored" => restored, "age_s" => age.as_secs());
+            let summary = RestoredSnapshot {
+                records: snapshot.records.len(),
+                restored,
+                age: now - snapshot.written_at,
+            };
+            log_lines::snapshot_restored(&log, summary);
         }
         self.snapshot_writer = Some(snapshot_writer);
     }
@@ -155,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// Where the system's event queue fails.
+    /// The event queue of the system fails.
     pub fn run_iteration(&mut self) -> Result<LoopState, EventLoopError> {
         let schedule = self.schedule();
         self.wait_for_events(&schedule)?;
@@ -181,8 +179,8 @@
         let timeout = if proxy.has_pending_work() {
             Some(Duration::ZERO)
         } else {
-            let due = next_deadline.into_iter().chain(next_slice).min();
-            due.map(|at| at - self.clock.now())
+            let wake_up_at = next_deadline.into_iter().chain(next_slice).min();
+            wake_up_at.map(|at| at - self.clock.now())
         };
         Schedule {
             next_deadline,
@@ -197,9 +195,8 @@
         let delay = schedule
             .next_deadline
             .map_or(Duration::ZERO, |at| self.clock.now() - at);
-        if delay > LATE_ITERATION {
-            warn!(self.proxy.borrow().context.log, "an event-loop iteration came late";
-                "late_ms" => delay.as_millis());
+        if delay > MAX_ITERATION_DELAY {
+            log_lines::event_loop_delayed(&self.proxy.borrow().context.log, delay);
         }
         Ok(())
     }
@@ -227,7 +224,7 @@
             .step(now, &mut events, &mut Decisions(&self.proxy));
     }
 
-    /// All that happens in an iteration happens at one time.
+    /// Everything in an iteration happens at the same time.
     fn update_time(&self) -> Timestamp {
         let now = self.clock.now();
         self.proxy.borrow_mut().context.now = now;
@@ -249,22 +246,22 @@
     }
 }
 
-/// Has SIGTERM and SIGHUP noted as events.
-fn await_signals(event_loop: &EventLoop<'static, TurnEvents>) -> Result<(), EventLoopError> {
+/// Makes the event loop record SIGTERM and SIGHUP.
+fn receive_signals(event_loop: &EventLoop<'static, ReadyEvents>) -> Result<(), EventLoopError> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])
         .map_err(|error| EventLoopError::Signals(Box::new(error)))?;
-    let note = |event: Event, (): &mut (), events: &mut TurnEvents| match event.signal() {
+    let record = |event: Event, (): &mut (), events: &mut ReadyEvents| match event.signal() {
         Signal::SIGHUP => events.reload = true,
         _ => events.stop = true,
     };
     event_loop
         .handle()
-        .insert_source(signals, note)
+        .insert_source(signals, record)
         .map_err(|refused| EventLoopError::Signals(Box::new(refused.error)))?;
     Ok(())
 }
 
-/// Serves until SIGTERM, then drains and ends.
+/// Serves until SIGTERM, then drains and returns.
 ///
 /// # Errors
 ///
@@ -278,11 +275,9 @@
 ) -> Result<(), EventLoopError> {
     let mut instance = ProxyInstance::new(config, config_path, listen, log.clone())?;
     instance.enable_snapshots(operators);
-    info!(log, "serving"; "listen" => %config.listen);
+    log_lines::serving(&log, config.listen);
     while instance.run_iteration()? == LoopState::Running {}
     instance.write_final_snapshot();
-    // The experiments read this key.
-    let longest_us = instance.longest_iteration.as_micros() as u64;
-    info!(log, "stopped"; "longest_turn_us" => longest_us);
+    log_lines::stopped(&log, instance.longest_iteration);
     Ok(())
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,7 +1,7 @@
-//! The proxy's parts on sockets, and what one event-loop iteration does with them before the policy decides.
+//! All components on sockets, and what they do in an event-loop iteration before the policy decides.
 //!
-//! Everything is owned by one thread. Within an iteration the endpoint list and the rollout status come before
-//! endpoints and clients: they bind what is decided on the rest.
+//! One thread owns everything. Within an iteration, the endpoint list and the rollout status are handled before
+//! endpoints and clients, because the decisions about the latter depend on them.
 
 mod decisions;
 mod dispatch;
@@ -9,10 +9,11 @@
 mod panic_isolation;
 
 use std::cmp::Reverse;
+use std::io;
 use std::net::TcpListener;
 use std::path::PathBuf;
 
-use slog::info;
+use thiserror::Error;
 use tidescale_policy::Balancer;
 
 pub(crate) use decisions::Decisions;
@@ -20,9 +21,10 @@
 
 use crate::clients::{ClientLimits, Clients};
 use crate::config::Config;
-use crate::connection::{Component, IoContext, Owner, TurnEvents};
+use crate::context::{Component, EventContext, IoContext, Owner, ReadyEvents};
 use crate::discovery::{Discovery, ListSource};
-use crate::event_loop::EventLoopError;
+use crate::ids::SlotKey;
+use crate::log_lines;
 use crate::reload::{self, Reloadable};
 use crate::resource_budget::ConnectionBudget;
 use crate::rollout_status::RolloutStatusStream;
@@ -31,12 +33,26 @@
 use crate::upstream::Upstream;
 use crate::votes::Votes;
 
-/// Wakes the loop when the accept period after SIGTERM is over.
-const ACCEPT_PERIOD_TIMER: Owner = Owner::new(Component::Shutdown, 0);
-/// Wakes the loop when the process has to end.
-const SHUTDOWN_DEADLINE_TIMER: Owner = Owner::new(Component::Shutdown, 1);
+/// Wakes the event loop when the accept period after SIGTERM ends.
+const ACCEPT_PERIOD_TIMER: Owner = Owner::new(Component::Shutdown, SlotKey::new(0));
+/// Wakes the event loop when the process has to exit.
+const SHUTDOWN_DEADLINE_TIMER: Owner = Owner::new(Component::Shutdown, SlotKey::new(1));
+
+/// Why the components cannot be set up.
+#[derive(Debug, Error)]
+pub enum ProxyError {
+    /// The listening socket cannot be used.
+    #[error("listener: {0}")]
+    Listener(#[source] io::Error),
+    /// The configured limit leaves no descriptors for clients or endpoints.
+    #[error("limits: {limit} sockets are too few")]
+    TooFewDescriptors {
+        /// The configured limit.
+        limit: usize,
+    },
+}
 
-/// All connections and the state kept for them.
+/// All connections and their state.
 pub(crate) struct Proxy {
     pub(crate) context: IoContext,
     clients: Clients,
@@ -45,7 +61,7 @@
     rollout_status: RolloutStatusStream,
     votes: Votes,
     shutdown: Shutdown,
-    /// Where the configuration is read again at SIGHUP.
+    /// The configuration file that is read again at SIGHUP.
     config_path: PathBuf,
 }
 
@@ -56,9 +72,9 @@
         config_path: PathBuf,
         listener: TcpListener,
         context: IoContext,
-    ) -> Result<Proxy, EventLoopError> {
+    ) -> Result<Proxy, ProxyError> {
         let budget = ConnectionBudget::split(config.descriptor_limit).ok_or(
-            EventLoopError::TooFewDescriptors {
+            ProxyError::TooFewDescriptors {
                 limit: config.descriptor_limit,
             },
         )?;
@@ -68,16 +84,12 @@
         } else {
             ListSource::LocalAgent
         };
-        let clients = Clients::new(
-            &context,
-            listener,
-            settings.routes.clone(),
-            ClientLimits {
-                connections: budget.clients,
-                resting: budget.idle_clients,
-            },
-        )
-        .map_err(EventLoopError::Listener)?;
+        let limits = ClientLimits {
+            connections: budget.clients,
+            idle: budget.idle_clients,
+        };
+        let clients = Clients::new(&context, listener, settings.routes.clone(), limits)
+            .map_err(ProxyError::Listener)?;
         Ok(Proxy {
             upstream: Upstream::new(config.connections.clone(), budget.endpoints),
             discovery: Discovery::new(config.discovery, list_source, config.seed),
@@ -90,7 +102,7 @@
         })
     }
 
-    /// What the snapshot needs to know beside the policy's state.
+    /// What snapshots contain besides the state of the policy.
     pub(crate) fn directory(&self) -> EndpointDirectory<'_> {
         EndpointDirectory {
             upstream: &self.upstream,
@@ -99,14 +111,14 @@
         }
     }
 
-    /// There is something to do before any socket becomes ready or any deadline is due.
+    /// There is work to do before a socket becomes ready or a deadline expires.
     pub(crate) fn has_pending_work(&self) -> bool {
         self.clients.has_pending_work(&self.context)
             || self.upstream.has_pending_work(&self.context)
             || self.votes.has_pending_work()
     }
 
-    /// Whether the process has to end; called at the end of each iteration.
+    /// Whether the process has to exit; called at the end of each iteration.
     pub(crate) fn is_finished(&mut self) -> bool {
         let clients = &self.clients;
         match self.shutdown.step(self.context.now, || clients.is_idle()) {
@@ -119,33 +131,34 @@
         }
     }
 
-    /// The list and the status that the configuration carries hold until the streams, opened here, deliver newer ones.
+    /// Applies the endpoint list and the rollout status in the configuration, and opens the streams that deliver newer
+    /// ones.
     fn start(&mut self, config: &Config, policy: &mut Balancer) {
-        self.discovery.apply_known_list(
-            &config.known_endpoints,
-            &mut self.context,
-            &mut self.upstream,
+        let mut context = EventContext {
+            io: &mut self.context,
             policy,
-        );
+        };
+        self.discovery
+            .apply_known_list(&config.known_endpoints, &mut self.upstream, &mut context);
         if let Some(status) = &config.rollout_status {
-            status.apply(policy);
+            status.apply(context.policy);
         }
-        self.discovery.open(&mut self.context);
-        self.rollout_status.open(&mut self.context);
+        self.discovery.open(context.io);
+        self.rollout_status.open(context.io);
     }
 
     /// The steps of an iteration, in this order.
-    fn deliver_events(&mut self, events: &mut TurnEvents, policy: &mut Balancer) {
+    fn deliver_events(&mut self, events: &mut ReadyEvents, policy: &mut Balancer) {
         self.handle_signals(events, policy);
         self.notify_failed_starts(policy);
-        let ready = self.note_readiness(events);
+        let ready = self.record_readiness(events);
         self.serve_control_and_endpoints(ready, policy);
-        self.handle_due_deadlines(policy);
-        self.clients.accept(&mut self.context, policy);
+        self.handle_expired_deadlines(policy);
+        self.accept_clients(policy);
         self.serve_clients(policy);
     }
 
-    fn handle_signals(&mut self, events: &mut TurnEvents, policy: &mut Balancer) {
+    fn handle_signals(&mut self, events: &mut ReadyEvents, policy: &mut Balancer) {
         if std::mem::take(&mut events.stop) {
             self.begin_shutdown(policy);
         }
@@ -163,7 +176,7 @@
         let Some(times) = self.shutdown.begin(self.context.now) else {
             return;
         };
-        info!(self.context.log, "stopping"; "open_requests" => self.clients.open_request_count());
+        log_lines::stopping(&self.context.log, self.clients.open_request_count());
         self.clients.begin_shutdown();
         self.upstream
             .begin_shutdown(times.attempt_deadline, &mut self.context);
@@ -173,15 +186,15 @@
         deadlines.set(SHUTDOWN_DEADLINE_TIMER, times.shutdown_deadline);
     }
 
-    /// Attempts and votes that failed as soon as the last step had decided on them.
+    /// Notifies the policy of attempts and votes that failed while its last decisions were carried out.
     fn notify_failed_starts(&mut self, policy: &mut Balancer) {
         self.upstream
-            .notify_ended_attempts(&mut self.clients, policy);
+            .notify_ended_exchanges(&mut self.clients, policy);
         self.votes.notify_failed_vote(policy);
     }
 
-    /// Notes which sockets have become ready; returns whom to serve for it. Clients note that themselves.
-    fn note_readiness(&mut self, events: &mut TurnEvents) -> Vec<Owner> {
+    /// Records which sockets became ready. Returns the endpoints and votes to serve; clients are recorded as pending.
+    fn record_readiness(&mut self, events: &mut ReadyEvents) -> Vec<Owner> {
         let mut ready: Vec<Owner> = Vec::new();
         for (owner, readiness) in events.sockets.drain(..) {
             self.on_ready(owner, readiness);
@@ -194,12 +207,16 @@
 
     fn serve_control_and_endpoints(&mut self, ready: Vec<Owner>, policy: &mut Balancer) {
         let mut owners = ready;
-        // The streams are served in each iteration: an earlier one may have left bytes unread for want of buffers.
-        owners.push(Owner::new(Component::EndpointList, 0));
-        owners.push(Owner::new(Component::RolloutStatus, 0));
-        let pending = self.upstream.take_pending().into_iter();
-        owners.extend(pending.map(|slot| Owner::new(Component::Endpoint, slot)));
-        // Votes and control streams come first: what they say binds what is decided on the rest.
+        // Streams are served in each iteration, because the last one may have left bytes unread for lack of buffers.
+        owners.push(Owner::only(Component::EndpointList));
+        owners.push(Owner::only(Component::RolloutStatus));
+        owners.extend(
+            self.upstream
+                .take_pending()
+                .into_iter()
+                .map(Owner::endpoint),
+        );
+        // Votes and control streams come first: the policy handles the rest by what they deliver.
         owners.sort_unstable_by_key(|owner| Reverse(*owner));
         owners.dedup();
         for owner in owners {
@@ -207,7 +224,7 @@
         }
     }
 
-    fn handle_due_deadlines(&mut self, policy: &mut Balancer) {
+    fn handle_expired_deadlines(&mut self, policy: &mut Balancer) {
         while let Some(owner) = self.context.deadlines.pop_due(self.context.now) {
             self.isolate(owner, policy, |proxy, policy| {
                 proxy.on_deadline(owner, policy);
@@ -215,9 +232,17 @@
         }
     }
 
+    fn accept_clients(&mut self, policy: &mut Balancer) {
+        let mut context = EventContext {
+            io: &mut self.context,
+            policy,
+        };
+        self.clients.accept(&mut context);
+    }
+
     fn serve_clients(&mut self, policy: &mut Balancer) {
-        for slot in self.clients.take_pending() {
-            let owner = Owner::new(Component::Client, slot);
+        for key in self.clients.take_pending() {
+            let owner = Owner::client(key);
             self.isolate(owner, policy, |proxy, policy| proxy.serve(owner, policy));
         }
     }
--- a/crates/proxy/src/proxy/decisions.rs
+++ b/crates/proxy/src/proxy/decisions.rs
@@ -1,71 +1,63 @@
-//! Carries out the policy's decisions on the proxy's connections.
+//! Carries out the decisions of the policy on the connections of the proxy.
 
 use std::cell::RefCell;
 use std::time::Duration;
 
-use slog::info;
 use tidescale_policy::host::DecisionSink;
 use tidescale_policy::types::{AttemptId, Ballot, RequestId, RollbackVerdict, Timestamp};
 
 use super::Proxy;
-use crate::connection::{Component, Owner};
-use crate::explain;
+use crate::context::{Component, Owner};
+use crate::log_lines;
+use crate::upstream::NewExchange;
 
-/// Wakes the loop for the policy's next step.
-const POLICY_TIMER: Owner = Owner::new(Component::Policy, 0);
+/// Wakes the event loop for the next step of the policy.
+const POLICY_TIMER: Owner = Owner::only(Component::Policy);
 
-/// Takes the decisions of a step.
+/// Receives the decisions of a step.
 pub(crate) struct Decisions<'a>(pub(crate) &'a RefCell<Proxy>);
 
+impl Decisions<'_> {
+    fn start(&self, new: NewExchange<'_>) {
+        let proxy = &mut *self.0.borrow_mut();
+        proxy
+            .upstream
+            .start(new, &mut proxy.context, &mut proxy.clients);
+    }
+}
+
 impl DecisionSink for Decisions<'_> {
     fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
-        let proxy = &mut *self.0.borrow_mut();
-        proxy.upstream.start_attempt(
-            attempt.request.get(),
-            endpoint,
-            deadline,
-            &mut proxy.context,
-            &mut proxy.clients,
-        );
+        self.start(NewExchange::attempt(attempt, endpoint, deadline));
     }
 
     fn cancel_attempt(&mut self, attempt: AttemptId) {
         let proxy = &mut *self.0.borrow_mut();
-        proxy.upstream.cancel_attempt(
-            attempt.request.get(),
-            attempt.index.get(),
-            &mut proxy.context,
-            &mut proxy.clients,
-        );
+        proxy
+            .upstream
+            .cancel_attempt(attempt, &mut proxy.context, &mut proxy.clients);
     }
 
     fn reject_request(&mut self, request: RequestId, retry_after: Duration) {
         let clients = &mut self.0.borrow_mut().clients;
-        clients.reject_request(request.get(), retry_after);
+        clients.reject_request(request, retry_after);
     }
 
     fn fail_request(&mut self, request: RequestId) {
-        self.0.borrow_mut().clients.fail_request(request.get());
+        self.0.borrow_mut().clients.fail_request(request);
     }
 
     fn cast_vote(&mut self, ballot: Ballot) {
         let proxy = &mut *self.0.borrow_mut();
-        info!(proxy.context.log, "vote";
-            "build" => ballot.build.get(), "stage" => ballot.stage.get(), "vote" => ?ballot.vote);
+        log_lines::vote_cast(&proxy.context.log, ballot);
         proxy.votes.cast_vote(ballot, &mut proxy.context);
     }
 
     fn start_health_check(&mut self, endpoint: &str, deadline: Timestamp) {
-        let proxy = &mut *self.0.borrow_mut();
-        proxy.upstream.start_health_check(
-            endpoint,
-            deadline,
-            &mut proxy.context,
-            &mut proxy.clients,
-        );
+        self.start(NewExchange::health_check(endpoint, deadline));
     }
 
-    /// Nothing to do: the endpoint list's stream is always open or about to be.
+    /// Does nothing: the stream of the endpoint list is always open or about to be opened.
     fn poll_endpoints(&mut self) {}
 
     fn schedule_wake_up(&mut self, after: Duration) {
@@ -73,15 +65,7 @@
         context.deadlines.set(POLICY_TIMER, context.now + after);
     }
 
-    /// The line's text and keys are read by `tidescale explain`.
     fn report_rollback_verdict(&mut self, verdict: &RollbackVerdict) {
-        let round = |value: f64| format!("{value:.2}");
-        info!(self.0.borrow().context.log, "verdict: to go back";
-            "build" => verdict.build.get(), "stage" => verdict.stage.get(), "test" => explain::test_name(verdict.test),
-            "new_hits" => round(verdict.candidate.failures), "new_outcomes" => round(verdict.candidate.outcomes),
-            "old_hits" => round(verdict.baseline.failures), "old_outcomes" => round(verdict.baseline.outcomes),
-            "recalled" => round(verdict.restored_outcomes), "score" => round(verdict.score),
-            "bound" => round(verdict.bound), "alpha" => verdict.alpha, "beta" => verdict.beta,
-            "aside" => verdict.ejected_endpoints);
+        log_lines::rollback_verdict(&self.0.borrow().context.log, verdict);
     }
 }
--- a/crates/proxy/src/proxy/dispatch.rs
+++ b/crates/proxy/src/proxy/dispatch.rs
@@ -1,18 +1,19 @@
-//! Hands readiness, turns and deadlines to the component that owns them.
+//! Passes readiness, iterations and deadlines on to the component that owns them.
 
 use calloop::Readiness;
 use tidescale_policy::Balancer;
 
 use super::Proxy;
-use crate::connection::{Component, Owner};
+use crate::context::{Component, EventContext, Owner};
+use crate::upstream::ExchangeContext;
 
 impl Proxy {
-    /// A socket of the owner's has become ready.
+    /// A socket of the owner became ready.
     pub(super) fn on_ready(&mut self, owner: Owner, readiness: Readiness) {
         match owner.component {
             Component::Listener => self.clients.on_accept_ready(),
-            Component::Client => self.clients.on_ready(owner.slot, readiness),
-            Component::Endpoint => self.upstream.on_ready(owner.slot, readiness),
+            Component::Client => self.clients.on_ready(owner.slot.into(), readiness),
+            Component::Endpoint => self.upstream.on_ready(owner.slot.into(), readiness),
             Component::EndpointList => self.discovery.on_ready(owner.slot, readiness),
             Component::RolloutStatus => self.rollout_status.on_ready(owner.slot, readiness),
             Component::Votes => self.votes.on_ready(readiness),
@@ -20,52 +21,80 @@
         }
     }
 
-    /// Reads and writes what the owner's sockets take, and notifies the policy.
+    /// Reads from and writes to the sockets of the owner, and notifies the policy.
     pub(super) fn serve(&mut self, owner: Owner, policy: &mut Balancer) {
-        let context = &mut self.context;
+        if owner.component == Component::Endpoint {
+            let mut context = ExchangeContext {
+                io: &mut self.context,
+                clients: &mut self.clients,
+                policy,
+            };
+            return self.upstream.serve(owner.slot.into(), &mut context);
+        }
+        let mut context = EventContext {
+            io: &mut self.context,
+            policy,
+        };
         match owner.component {
-            Component::Endpoint => {
-                self.upstream
-                    .serve(owner.slot, context, &mut self.clients, policy);
+            Component::EndpointList => self.discovery.serve(&mut self.upstream, &mut context),
+            Component::RolloutStatus => self.rollout_status.serve(&mut context),
+            Component::Votes => self.votes.serve(&mut context),
+            Component::Client => self.clients.serve(owner.slot.into(), &mut context),
+            Component::Policy | Component::Shutdown | Component::Listener | Component::Endpoint => {
             }
-            Component::EndpointList => self.discovery.serve(context, &mut self.upstream, policy),
-            Component::RolloutStatus => self.rollout_status.serve(context, policy),
-            Component::Votes => self.votes.serve(context, policy),
-            Component::Client => self.clients.serve(owner.slot, context, policy),
-            Component::Policy | Component::Shutdown | Component::Listener => {}
         }
     }
 
-    /// The owner's deadline is due.
+    /// A deadline of the owner has expired.
     pub(super) fn on_deadline(&mut self, owner: Owner, policy: &mut Balancer) {
-        let context = &mut self.context;
+        if owner.component == Component::Endpoint {
+            let mut context = ExchangeContext {
+                io: &mut self.context,
+                clients: &mut self.clients,
+                policy,
+            };
+            return self.upstream.on_deadline(owner.slot.into(), &mut context);
+        }
+        let mut context = EventContext {
+            io: &mut self.context,
+            policy,
+        };
         match owner.component {
-            Component::Endpoint => {
-                self.upstream
-                    .on_deadline(owner.slot, context, &mut self.clients, policy);
+            Component::EndpointList => self.discovery.on_deadline(owner.slot, context.io),
+            Component::RolloutStatus => self.rollout_status.on_deadline(owner.slot, context.io),
+            Component::Votes => self.votes.on_deadline(&mut context),
+            Component::Client => self.clients.on_deadline(owner.slot.into(), &mut context),
+            // These deadlines only wake the event loop.
+            Component::Policy | Component::Shutdown | Component::Listener | Component::Endpoint => {
             }
-            Component::EndpointList => self.discovery.on_deadline(owner.slot, context),
-            Component::RolloutStatus => self.rollout_status.on_deadline(owner.slot, context),
-            Component::Votes => self.votes.on_deadline(context, policy),
-            Component::Client => self.clients.on_deadline(owner.slot, context, policy),
-            // These only have the iteration run.
-            Component::Policy | Component::Shutdown | Component::Listener => {}
         }
     }
 
-    /// Closes the owner's connection, or opens its stream again, after its handling has panicked.
+    /// Closes the connection of the owner, or opens its stream again, after its handler has panicked.
     pub(super) fn reset_after_panic(&mut self, owner: Owner, policy: &mut Balancer) {
-        let context = &mut self.context;
+        if owner.component == Component::Endpoint {
+            let mut context = ExchangeContext {
+                io: &mut self.context,
+                clients: &mut self.clients,
+                policy,
+            };
+            let key = owner.slot.into();
+            return self.upstream.close_after_panic(key, &mut context);
+        }
+        let mut context = EventContext {
+            io: &mut self.context,
+            policy,
+        };
         match owner.component {
-            Component::Client => self.clients.close_after_panic(owner.slot, context, policy),
-            Component::Endpoint => {
-                self.upstream
-                    .close_after_panic(owner.slot, context, &mut self.clients, policy);
+            Component::Client => {
+                self.clients
+                    .close_after_panic(owner.slot.into(), &mut context);
+            }
+            Component::EndpointList => self.discovery.open(context.io),
+            Component::RolloutStatus => self.rollout_status.open(context.io),
+            Component::Votes => self.votes.on_deadline(&mut context),
+            Component::Policy | Component::Shutdown | Component::Listener | Component::Endpoint => {
             }
-            Component::EndpointList => self.discovery.open(context),
-            Component::RolloutStatus => self.rollout_status.open(context),
-            Component::Votes => self.votes.on_deadline(context, policy),
-            Component::Policy | Component::Shutdown | Component::Listener => {}
         }
     }
 }
--- a/crates/proxy/src/proxy/events.rs
+++ b/crates/proxy/src/proxy/events.rs
@@ -1,4 +1,4 @@
-//! The policy's event sources: the first iteration's and every later one's.
+//! The event sources of the policy: that of the first iteration and that of all others.
 
 use std::cell::RefCell;
 
@@ -6,12 +6,12 @@
 
 use super::Proxy;
 use crate::config::Config;
-use crate::connection::TurnEvents;
+use crate::context::ReadyEvents;
 
-/// What the loop found ready in an iteration.
+/// The events of one iteration.
 pub(crate) struct IterationEvents<'a> {
     pub(crate) proxy: &'a RefCell<Proxy>,
-    pub(crate) events: &'a mut TurnEvents,
+    pub(crate) events: &'a mut ReadyEvents,
 }
 
 impl EventSource for IterationEvents<'_> {
@@ -20,7 +20,7 @@
     }
 }
 
-/// The first iteration's: what the configuration carries, then as in any other.
+/// The events of the first iteration: the contents of the configuration come first.
 pub(crate) struct StartEvents<'a> {
     pub(crate) config: &'a Config,
     pub(crate) iteration: IterationEvents<'a>,
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -1,4 +1,4 @@
-//! The newest build's rollout status, as a stream of the platform's events that always stands.
+//! The rollout status of the newest build, received as a persistent stream of events from the platform.
 
 mod event;
 
@@ -8,14 +8,15 @@
 use calloop::Readiness;
 use tidescale_policy::Balancer;
 
-use crate::connection::{Component, IoContext};
+use crate::context::{Component, EventContext, IoContext};
+use crate::ids::SlotKey;
 use crate::stream::{LineError, PersistentStream, StreamTimeouts};
 
 pub use event::{Event, EventError, StatusMessage};
 
 /// Where the platform serves its events.
 const PATH: &str = "/bulletin";
-/// Five of the signs of life that come every second.
+/// Five intervals of the platform's keep-alive lines, which come every second.
 const SILENCE: Duration = Duration::from_millis(5000);
 
 /// The stream of the platform's events.
@@ -37,26 +38,27 @@
         self.stream.open(PATH, context);
     }
 
-    /// Moves to another address; returns whether it is another one.
+    /// Moves to another address. Returns whether it differs from the current one.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) -> bool {
         self.stream.change_address(address, PATH, context)
     }
 
-    /// A deadline of the stream's is due.
-    pub fn on_deadline(&mut self, slot: u64, context: &mut IoContext) {
+    /// A deadline of the stream has expired.
+    pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) {
         if self.stream.on_deadline(slot, context) {
             self.open(context);
         }
     }
 
-    /// A socket of the stream's has become ready.
-    pub fn on_ready(&mut self, slot: u64, readiness: Readiness) {
+    /// A socket of the stream became ready.
+    pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         self.stream.on_ready(slot, readiness);
     }
 
-    /// Reads what has come and notifies the policy of the events in it.
-    pub fn serve(&mut self, context: &mut IoContext, policy: &mut Balancer) {
-        self.stream.serve(context, |line, partial, _| {
+    /// Reads from the stream and notifies the policy of the events received.
+    pub fn serve(&mut self, context: &mut EventContext<'_>) {
+        let policy = &mut *context.policy;
+        self.stream.serve(context.io, |line, partial, _| {
             if event::add_line(partial, line)? {
                 let announced = announce(partial, policy);
                 partial.clear();
@@ -71,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// Where it cannot be read; it may have been a change of the rollout's status.
+/// The event is invalid; it may have been a change of the rollout status.
 pub fn announce(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
     match Event::parse(lines)? {
         Event::Status(status) => status.apply(policy),
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -1,40 +1,41 @@
-//! The platform's events, in the form of server-sent events, and the rollout status in any of its forms: an event's
-//! data, a vote's response, the configuration. No I/O.
+//! The platform's events, in the format of server-sent events, and the rollout status in all of its formats: the data
+//! of an event, the response to a vote, the configuration. No I/O.
 
 use std::time::Duration;
 
-use serde::Deserialize;
 use serde::de::IntoDeserializer;
 use serde::de::value::Error as WordError;
+use serde::{Deserialize, Deserializer};
 use tidescale_policy::Balancer;
-use tidescale_policy::types::{RolloutPhase, RolloutStatus};
+use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex};
 
+/// The longest event, in bytes.
 const MAX_EVENT: usize = 64 * 1024;
 
-/// Why an event cannot be read.
+/// Why an event is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// A line of no known form, or an unknown kind of event.
+    /// A line in an unknown format, or an unknown kind of event.
     #[error("not an event: {0}")]
     Form(String),
-    /// The data of a rollout status cannot be read.
+    /// The data of a rollout status is invalid.
     #[error("not a rollout status: {0}")]
     Status(String),
-    /// The data of a flagged answer cannot be read.
+    /// The data of a flagged response is invalid.
     #[error("not a flagged answer: {0}")]
     Flag(String),
-    /// An event that does not end.
+    /// An event longer than the limit.
     #[error("an event without end")]
     TooLong,
 }
 
-/// The status of the newest build's rollout, in the platform's form.
+/// The rollout status of the newest build, in the platform's format.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct StatusMessage {
-    #[serde(rename = "version")]
-    build: u32,
-    #[serde(rename = "step")]
-    stage: u32,
+    #[serde(rename = "version", deserialize_with = "number")]
+    build: BuildNumber,
+    #[serde(rename = "step", deserialize_with = "number")]
+    stage: StageIndex,
     #[serde(rename = "status")]
     phase: Phase,
     #[serde(rename = "maxWeight")]
@@ -43,7 +44,7 @@
     age_ms: f64,
 }
 
-/// The platform's words for phases.
+/// The platform's names of phases.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 enum Phase {
     #[serde(rename = "trial")]
@@ -75,30 +76,30 @@
 }
 
 impl StatusMessage {
-    /// Notifies the policy.
+    /// Notifies the policy of this status.
     pub fn apply(&self, policy: &mut Balancer) {
         policy.on_rollout_status(RolloutStatus {
-            build: self.build.into(),
-            stage: self.stage.into(),
+            build: self.build,
+            stage: self.stage,
             phase: self.phase.into(),
             traffic_cap: self.traffic_cap,
             age: age(self.age_ms),
         });
     }
 
-    /// From the texts of its fields; none where one is missing or makes no sense.
+    /// Parses the texts of its fields; `None` if one is missing or invalid.
     pub(crate) fn from_fields<'a>(
         field: impl Fn(&str) -> Option<&'a str>,
     ) -> Option<StatusMessage> {
         let phase = Phase::from_word(field("status")?)?;
-        let build = field("version")?.trim().parse().ok()?;
-        let stage = field("step")?.trim().parse().ok()?;
+        let build: u32 = field("version")?.trim().parse().ok()?;
+        let stage: u32 = field("step")?.trim().parse().ok()?;
         let traffic_cap: f64 = field("maxWeight")?.trim().parse().ok()?;
         let age_ms: f64 = field("observedAgoMs")?.trim().parse().ok()?;
-        let is_sensible = (0.0..=1.0).contains(&traffic_cap) && age_ms.is_finite();
-        is_sensible.then_some(StatusMessage {
-            build,
-            stage,
+        let is_valid = (0.0..=1.0).contains(&traffic_cap) && age_ms.is_finite();
+        is_valid.then_some(StatusMessage {
+            build: build.into(),
+            stage: stage.into(),
             phase,
             traffic_cap,
             age_ms,
@@ -106,33 +107,40 @@
     }
 }
 
-/// A time that has passed, in whole microseconds; less than nothing counts as nothing.
+/// Deserializes a number with a type of its own.
+fn number<'de, D: Deserializer<'de>, Number: From<u32>>(
+    deserializer: D,
+) -> Result<Number, D::Error> {
+    u32::deserialize(deserializer).map(Number::from)
+}
+
+/// An age in whole microseconds; a negative one counts as zero.
 fn age(age_ms: f64) -> Duration {
     Duration::from_micros((age_ms.max(0.0) * 1000.0) as u64)
 }
 
-/// An event of the platform's.
+/// An event of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The rollout's status has changed.
     Status(StatusMessage),
-    /// An endpoint's answer was found to be wrong.
+    /// A client found a response of an endpoint to be wrong.
     AnswerFlagged {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
         /// How long ago.
         age: Duration,
     },
-    /// Sampled counts, which the policy does without, or nothing but a sign of life.
+    /// Sampled counts, which the policy does not use, or a keep-alive.
     Other,
 }
 
 impl Event {
-    /// Reads an event's lines.
+    /// Parses the lines of an event.
     ///
     /// # Errors
     ///
-    /// Where one of them, or the data in them, is of no known form.
+    /// A line, or the data in it, is in an unknown format.
     pub fn parse(lines: &str) -> Result<Event, EventError> {
         let mut kind = "";
         let mut data = "";
@@ -172,9 +180,9 @@
     })
 }
 
-/// Adds a line to what has come of an event; returns whether the event is whole.
+/// Adds a line to the lines of an event received so far. Returns whether the event is complete.
 pub(super) fn add_line(partial: &mut String, line: &str) -> Result<bool, EventError> {
-    // A sign of life belongs to no event.
+    // A comment is a keep-alive and not part of an event.
     if line.starts_with(':') {
         return Ok(false);
     }
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -1,30 +1,40 @@
-//! Tables of numbered slots.
+//! Bounded tables of entries, each identified by a key of the table's own type.
 //!
-//! A number carries its slot's generation, so that what comes late for an entry that has been removed misses it, also
-//! when its slot is in use again. A table never holds more than its capacity.
+//! A key includes the generation of its slot: once its entry has been removed, the key finds nothing, even if the slot
+//! is in use again.
 
-use slotmap::{DefaultKey, Key, KeyData, SlotMap};
+use std::marker::PhantomData;
 
-/// A table of entries by number.
-pub struct Slots<T> {
+use slotmap::{DefaultKey, Key as _, KeyData, SlotMap};
+
+use crate::ids::SlotKey;
+
+/// A table of entries by key. It never holds more entries than its capacity.
+pub struct Slots<T, Key = SlotKey> {
     table: SlotMap<DefaultKey, T>,
     capacity: usize,
+    key: PhantomData<Key>,
+}
+
+fn to_table_key(key: impl Into<SlotKey>) -> DefaultKey {
+    KeyData::from_ffi(key.into().get()).into()
 }
 
-fn slot_key(number: u64) -> DefaultKey {
-    KeyData::from_ffi(number).into()
+fn from_table_key<Key: From<SlotKey>>(key: DefaultKey) -> Key {
+    SlotKey::new(key.data().as_ffi()).into()
 }
 
-impl<T> Slots<T> {
+impl<T, Key: From<SlotKey> + Into<SlotKey>> Slots<T, Key> {
     /// An empty table for at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         Slots {
             table: SlotMap::new(),
             capacity,
+            key: PhantomData,
         }
     }
 
-    /// Whether it holds as many entries as it may.
+    /// Whether the table is at its capacity.
     pub fn is_full(&self) -> bool {
         self.table.len() >= self.capacity
     }
@@ -34,36 +44,37 @@
         self.table.len()
     }
 
-    /// Makes an entry that needs its own number, and gives that number; `None` when the table is full.
-    pub fn insert<E>(&mut self, make: impl FnOnce(u64) -> Result<T, E>) -> Option<Result<u64, E>> {
+    /// Inserts the entry that `make` creates from its key. Returns the key, the error of `make`, or `None` if the
+    /// table is full.
+    pub fn insert<E>(&mut self, make: impl FnOnce(Key) -> Result<T, E>) -> Option<Result<Key, E>> {
         if self.is_full() {
             return None;
         }
         let inserted = self
             .table
-            .try_insert_with_key(|key| make(key.data().as_ffi()));
-        Some(inserted.map(|key| key.data().as_ffi()))
+            .try_insert_with_key(|key| make(from_table_key(key)));
+        Some(inserted.map(from_table_key))
     }
 
-    /// The entry with this number.
-    pub fn get(&self, number: u64) -> Option<&T> {
-        self.table.get(slot_key(number))
+    /// The entry with this key.
+    pub fn get(&self, key: Key) -> Option<&T> {
+        self.table.get(to_table_key(key))
     }
 
-    /// The entry with this number, to change it.
-    pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.table.get_mut(slot_key(number))
+    /// The entry with this key, for changes.
+    pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
+        self.table.get_mut(to_table_key(key))
     }
 
-    /// Takes the entry with this number out.
-    pub fn remove(&mut self, number: u64) -> Option<T> {
-        self.table.remove(slot_key(number))
+    /// Removes the entry with this key and returns it.
+    pub fn remove(&mut self, key: Key) -> Option<T> {
+        self.table.remove(to_table_key(key))
     }
 
-    /// All entries with their numbers.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
+    /// All entries with their keys.
+    pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.table
             .iter()
-            .map(|(key, entry)| (key.data().as_ffi(), entry))
+            .map(|(key, entry)| (from_table_key(key), entry))
     }
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,15 +1,15 @@
 //! Writes snapshots of what the policy has learned. Records are collected in slices between iterations of the event
-//! loop; a thread of its own encodes and writes them, because a disk may stall.
+//! loop. A separate thread encodes and writes them, because a disk may stall.
 //!
-//! | module | its one job |
+//! | module | job |
 //! | --- | --- |
 //! | `collector` | collects the policy's records, some in each slice |
 //! | `background` | the thread that writes |
-//! | `restore` | restores to the policy what still counts of a snapshot |
-//! | `directory` | what the proxy knows of endpoints and the policy does not |
+//! | `restore` | restores the records of a snapshot that still count |
+//! | `directory` | what the proxy knows of endpoints besides the policy |
 //!
-//! Invariants: the event loop never waits for the disk, except for the last snapshot and then no longer than the
-//! operators allow; at most one snapshot waits for the thread.
+//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no longer than
+//! configured; at most one snapshot waits for the thread.
 
 mod background;
 mod collector;
@@ -18,7 +18,7 @@
 
 use std::time::{Duration, Instant};
 
-use slog::{Logger, debug, info, warn};
+use slog::{Logger, debug};
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
 use tidescale_snapshot::directory::Directory;
@@ -27,6 +27,7 @@
 use tidescale_snapshot::scheduler::{Budgets, JobId, Scheduler};
 use tidescale_snapshot::store::Store;
 
+use crate::log_lines;
 use crate::operators::SnapshotSettings;
 
 use background::{BackgroundWriter, PendingWrite, WriteResult};
@@ -35,25 +36,25 @@
 pub use directory::EndpointDirectory;
 pub use restore::restore;
 
-/// Priority of writing snapshots; it matters only once there are other jobs.
+/// Priority of writing snapshots among the jobs of the scheduler, of which it is the only one.
 const PRIORITY: u8 = 1;
 
-/// Writes a snapshot at intervals, and a last one at shutdown.
+/// Writes a snapshot at regular intervals and a final one at shutdown.
 pub struct SnapshotWriter {
     scheduler: Scheduler,
     job: JobId,
     collection: Collection,
     background: BackgroundWriter,
-    /// How long shutdown may wait for the last snapshot.
+    /// How long shutdown may wait for the final snapshot.
     shutdown_timeout: Duration,
-    /// Duration of the longest slice, for which the event loop stood still.
+    /// Duration of the longest slice, which blocks the event loop.
     longest_slice: Duration,
     log: Logger,
 }
 
 impl SnapshotWriter {
-    /// Locks the directory and starts the thread. Returns the writer and the newest whole snapshot found. None if the
-    /// directory cannot be used: the log says why, and the instance serves without snapshots.
+    /// Locks the directory and starts the thread. Returns the writer and the newest complete snapshot. Returns `None`
+    /// if the directory cannot be used: that is logged, and the instance serves without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
@@ -61,19 +62,19 @@
     ) -> Option<(SnapshotWriter, Option<Snapshot>)> {
         let directory = match Directory::lock(&settings.folder) {
             Ok(directory) => directory,
-            Err(why) => {
-                warn!(log, "snapshots are off"; "folder" => %settings.folder.display(), "why" => %why);
+            Err(error) => {
+                log_lines::snapshots_disabled(&log, &settings.folder, &error);
                 return None;
             }
         };
         let (store, opened) = Store::open(directory);
         for file in &opened.unusable_files {
-            warn!(log, "snapshot file set aside"; "what" => %file);
+            log_lines::snapshot_file_quarantined(&log, file);
         }
         let background = match BackgroundWriter::start(store) {
             Ok(background) => background,
-            Err(why) => {
-                warn!(log, "snapshots are off"; "why" => %why);
+            Err(error) => {
+                log_lines::snapshots_disabled(&log, &settings.folder, &error);
                 return None;
             }
         };
@@ -96,7 +97,7 @@
         Some((writer, opened.snapshot))
     }
 
-    /// Does one slice of work, if one is due.
+    /// Does one slice of work if the scheduler allows it now.
     pub fn run_slice(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -119,12 +120,12 @@
         self.scheduler.record_time(duration, now);
     }
 
-    /// When [`run_slice`](SnapshotWriter::run_slice) is worth calling again.
+    /// When [`run_slice`](SnapshotWriter::run_slice) has work to do again.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.scheduler.next_wake_up(now)
     }
 
-    /// Writes the last snapshot, after every client has its response. Waits no longer than the operators allow.
+    /// Writes the final snapshot, after all clients have their responses. Waits no longer than configured.
     pub fn write_final(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -134,7 +135,7 @@
         let deadline = Instant::now() + self.shutdown_timeout;
         let time_remaining = || deadline.saturating_duration_since(Instant::now());
         let records = self.collection.collect_all(directory, now, policy);
-        // The thread may refuse the last snapshot while another one waits.
+        // The thread would refuse the final snapshot while another one waits.
         if self.background.has_pending()
             && let Some(result) = self.background.wait_for_result(time_remaining())
         {
@@ -143,24 +144,23 @@
         self.submit(records, now);
         while self.background.has_pending() {
             let Some(result) = self.background.wait_for_result(time_remaining()) else {
-                warn!(self.log, "last snapshot not written in time");
+                log_lines::final_snapshot_timed_out(&self.log);
                 return;
             };
             self.record_result(result, now);
         }
-        let longest_slice_us = self.longest_slice.as_micros() as u64;
-        info!(self.log, "last snapshot written"; "longest_slice_us" => longest_slice_us);
+        log_lines::final_snapshot_written(&self.log, self.longest_slice);
     }
 
-    /// Hands a snapshot to the thread, or drops it if another one still waits: a disk that stalls must not fill the
-    /// memory.
+    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots do not pile up in
+    /// memory while the disk stalls.
     fn submit(&mut self, records: Vec<Record>, now: Timestamp) {
         let write = PendingWrite {
             written_at: now,
             records,
         };
-        if let Err(why) = self.background.submit(write) {
-            warn!(self.log, "snapshot not written"; "why" => %why);
+        if let Err(error) = self.background.submit(write) {
+            log_lines::snapshot_write_failed(&self.log, &error);
         }
     }
 
@@ -170,7 +170,7 @@
                 debug!(self.log, "snapshot written"; "bytes" => bytes);
                 self.scheduler.record_bytes(bytes, now);
             }
-            Err(why) => warn!(self.log, "snapshot not written"; "why" => %why),
+            Err(error) => log_lines::snapshot_write_failed(&self.log, &error),
         }
     }
 }
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -11,25 +11,25 @@
 use tidescale_snapshot::records::Record;
 use tidescale_snapshot::store::{SaveError, Store};
 
-/// Most snapshots that wait for the thread. One is enough, because each snapshot is complete.
+/// Most snapshots waiting for the thread. One is enough, because each snapshot is complete.
 const MAX_WAITING: usize = 1;
-/// Most results that wait for the event loop: one for the snapshot being written and one for the one that waits, so
-/// that the thread need not wait for the loop.
+/// Most results waiting for the event loop: one for the snapshot being written and one for the waiting one, so that the
+/// thread never waits for the event loop.
 const MAX_RESULTS: usize = 2;
 
-/// A snapshot on its way to the thread.
+/// A snapshot for the thread to write.
 pub(super) struct PendingWrite {
     pub(super) written_at: Timestamp,
     pub(super) records: Vec<Record>,
 }
 
-/// Bytes written, or why nothing was.
+/// Number of bytes written, or why the write failed.
 pub(super) type WriteResult = Result<usize, SaveError>;
 
-/// Why a snapshot was not handed over.
+/// Why a snapshot was not passed to the thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum SubmitError {
-    /// Another one still waits for the thread.
+    /// Another one waits for the thread.
     #[error("the disk is slow")]
     Busy,
     /// The thread has ended.
@@ -37,11 +37,11 @@
     Stopped,
 }
 
-/// The event loop's side of the thread.
+/// The event loop's handle of the thread.
 pub(super) struct BackgroundWriter {
     writes: SyncSender<PendingWrite>,
     results: Receiver<WriteResult>,
-    /// Writes that have no result yet.
+    /// Number of writes without a result.
     pending: usize,
 }
 
@@ -73,7 +73,7 @@
         self.pending > 0
     }
 
-    /// Hands a snapshot over, without waiting.
+    /// Passes a snapshot to the thread without waiting.
     pub(super) fn submit(&mut self, write: PendingWrite) -> Result<(), SubmitError> {
         match self.writes.try_send(write) {
             Ok(()) => {
@@ -85,14 +85,14 @@
         }
     }
 
-    /// The next result, if there already is one.
+    /// The next result, if it is available.
     pub(super) fn try_result(&mut self) -> Option<WriteResult> {
         let result = self.results.try_recv().ok()?;
         self.pending -= 1;
         Some(result)
     }
 
-    /// Waits for the next result; none if it does not come in time.
+    /// Waits for the next result; `None` after the timeout.
     pub(super) fn wait_for_result(&mut self, timeout: Duration) -> Option<WriteResult> {
         let result = self.results.recv_timeout(timeout).ok()?;
         self.pending -= 1;
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -1,4 +1,4 @@
-//! Collects the policy's records, a bounded number in each slice.
+//! Collects the records of the policy, a bounded number in each slice.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
@@ -11,17 +11,17 @@
 
 use super::directory::EndpointDirectory;
 
-/// Endpoints, or endpoints' outcomes, in a slice: a few tens of microseconds of the event loop's time.
+/// Endpoints, or outcomes of endpoints, in a slice; they take a few tens of microseconds.
 const SLICE_LENGTH: usize = 64;
 
-/// Where collecting continues.
+/// The position at which collecting continues.
 #[derive(Clone, Copy)]
 enum Cursor {
-    /// With the endpoint of this index.
+    /// The endpoint with this index.
     Endpoints(EndpointIndex),
-    /// With the outcomes at this position, as the policy names it.
+    /// The outcomes with this key.
     Outcomes(OutcomeKey),
-    /// With all that is neither.
+    /// All other records.
     Rest,
 }
 
@@ -33,7 +33,7 @@
     });
 }
 
-/// A snapshot's records as far as they are collected.
+/// The records of a snapshot that were collected so far.
 pub(super) struct Collection {
     records: Vec<Record>,
     cursor: Cursor,
@@ -49,7 +49,8 @@
 }
 
 impl Collection {
-    /// Collects some endpoints or outcomes, or all the rest. Returns the snapshot's records once they are complete.
+    /// Collects some endpoints or outcomes, or all other records. Returns the records of the snapshot once they are
+    /// complete.
     pub(super) fn collect_slice(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -75,14 +76,14 @@
             Cursor::Rest => {
                 policy.save_rest(&mut sink);
                 self.cursor = Cursor::START;
-                // Records that must not be left out if the file would be too long come first.
+                // The file is cut at its maximum length: the records collected last are the most important ones.
                 self.records.reverse();
                 Some(std::mem::take(&mut self.records))
             }
         }
     }
 
-    /// Collects everything anew, at once.
+    /// Collects all records from the start, in one go.
     pub(super) fn collect_all(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Receives the policy's records and converts them to those that are stored.
+/// Receives the records of the policy and converts them to stored records.
 struct Collector<'a> {
     now: Timestamp,
     directory: &'a EndpointDirectory<'a>,
--- a/crates/proxy/src/snapshot_writer/directory.rs
+++ b/crates/proxy/src/snapshot_writer/directory.rs
@@ -1,13 +1,13 @@
-//! What the proxy knows of endpoints and the policy does not: where they listen, and how old the endpoint list is.
+//! What the proxy knows of endpoints besides the policy: their addresses, and the age of the endpoint list.
 
 use tidescale_policy::types::Timestamp;
 use tidescale_snapshot::records::Process;
 
 use crate::upstream::Upstream;
 
-/// The proxy's own knowledge of the endpoints.
+/// The endpoint list as the proxy knows it.
 pub struct EndpointDirectory<'a> {
-    /// The endpoints' processes.
+    /// The processes of the endpoints.
     pub upstream: &'a Upstream,
     /// Version of the endpoint list.
     pub list_version: u64,
@@ -16,7 +16,7 @@
 }
 
 impl EndpointDirectory<'_> {
-    /// The process that is listed under this name.
+    /// The process listed under this name.
     pub(super) fn process(&self, endpoint: &str) -> Option<Process> {
         let identity = self.upstream.process_of(endpoint)?;
         Some(Process {
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,4 +1,4 @@
-//! Restores to the policy what still counts of a snapshot.
+//! Restores the records of a snapshot that still count.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
@@ -11,9 +11,9 @@
 
 use super::directory::EndpointDirectory;
 
-/// Restores to the policy what still counts of the snapshot. Returns the number of records that did.
+/// Restores the records of the snapshot that still count to the policy, and returns their number.
 ///
-/// The policy must know the endpoint list and the rollout's status already: records are checked against them.
+/// Records are checked against the endpoint list and the rollout status, which the policy must know already.
 pub fn restore(
     snapshot: &Snapshot,
     directory: &EndpointDirectory<'_>,
@@ -33,7 +33,7 @@
     counted
 }
 
-/// Whether the build that was under evaluation at the time still is.
+/// Whether the build that was under evaluation when the snapshot was written still is.
 fn rollout_continues(snapshot: &Snapshot, policy: &Balancer) -> bool {
     let Some(current) = policy.rollout() else {
         return false;
@@ -53,7 +53,7 @@
 }
 
 impl Restorer<'_> {
-    /// Restores one record. Returns whether it still counted.
+    /// Restores one record if it still counts. Returns whether it does.
     fn restore(&mut self, record: &Record) -> bool {
         let weight = expiry::weight(record, self.now);
         let counts = weight > 0.0;
@@ -83,9 +83,9 @@
                     .restore_key_build(&record.key, record.build.into());
                 true
             }
-            // Stored for starts without discovery.
+            // These are stored for starts without discovery.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
-            // Expired, or the rollout that it belongs to is over.
+            // The record has expired, or its rollout has ended.
             Record::HardwareClass(_)
             | Record::FleetBaseline(_)
             | Record::RejectedBuild(_)
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Whether the endpoint of this name is still this process.
+    /// Whether the endpoint with this name is still the recorded process.
     fn match_process(&self, recorded: &Process) -> ProcessMatch {
         let listed = self.directory.process(&recorded.endpoint);
         ProcessMatch::compare(recorded, listed.as_ref())
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,8 +1,8 @@
-//! HTTP responses that never end, read line by line.
+//! HTTP responses without an end, read line by line.
 //!
-//! [`ReconnectingStream`] is one of them: opened again, after a backoff, when it ends or falls silent.
-//! [`PersistentStream`] keeps one standing: on a change of address, and every now and then, a new stream takes the
-//! current one's place without a gap.
+//! [`ReconnectingStream`] is one such response; it is opened again, after a backoff, when it ends or falls silent.
+//! [`PersistentStream`] is a sequence of them: on a change of address and at regular intervals, a new stream replaces
+//! the current one without a gap.
 
 mod backoff;
 mod persistent;
@@ -16,7 +16,7 @@
 pub use persistent::PersistentStream;
 pub use reconnecting::ReconnectingStream;
 
-/// What a consumer finds wrong with a line.
+/// Why the consumer of a stream rejected a line.
 pub type LineError = Box<dyn std::error::Error>;
 
 /// Why a stream has ended.
@@ -28,48 +28,49 @@
     /// The response is not HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The server declined.
+    /// The server refused the request.
     #[error("status {0}")]
     Status(u16),
-    /// The consumer cannot use what has come.
+    /// The consumer rejected a line.
     #[error("{0}")]
     Content(LineError),
     /// The server closed the connection.
     #[error("closed")]
     Closed,
-    /// The response came to its end, which it never should.
+    /// The response is complete, although it should not end.
     #[error("complete")]
     Complete,
-    /// No sign of life for too long.
+    /// Nothing was received for too long, not even a keep-alive.
     #[error("silent")]
     Silent,
-    /// It stood open until its renewal and delivered nothing.
+    /// The response had started but had delivered nothing when the stream was due for renewal.
     #[error("nothing delivered")]
     NothingDelivered,
 }
 
-/// An answer that begins takes no longer.
+/// A response starts within this time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
-/// A stream may show life and deliver nothing of what changes: a new one delivers what was missed.
+/// A stream may send keep-alives without delivering changes; a new one delivers what was missed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(3000);
 
-/// How long a stream is waited for.
+/// The time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// Longer than any pause between signs of life.
+    /// The longest time without a keep-alive.
     pub silence: Duration,
-    /// A response takes no longer to begin.
+    /// The longest time until a response starts.
     pub response_start: Duration,
-    /// The longest pause before the stream is opened again, before jitter, which at most doubles it.
+    /// The longest backoff before the stream is opened again; jitter at most doubles it.
     pub max_backoff: Duration,
-    /// So often a standing stream is replaced by a new one; never where each call costs the server what all instances
-    /// share.
+    /// How often a working stream is replaced by a new one; `None` for a server that all instances share, where each
+    /// call is expensive.
     pub renewal_interval: Option<Duration>,
 }
 
 impl StreamTimeouts {
-    /// For a server that runs on this instance's host, or responds at once.
+    /// For a server that responds immediately.
     pub const fn responsive_server(silence: Duration) -> StreamTimeouts {
         StreamTimeouts {
             silence,
--- a/crates/proxy/src/stream/backoff.rs
+++ b/crates/proxy/src/stream/backoff.rs
@@ -1,14 +1,15 @@
-//! Exponential backoff with jitter: instances whose streams end together must not come back together, or they would all
-//! be turned away again.
+//! Exponential backoff with jitter. Without jitter, instances whose streams end at the same time would reconnect at the
+//! same time (thundering herd) and be refused again.
 
 use std::time::Duration;
 
 use oorandom::Rand32;
 use tidescale_policy::types::whole_micros;
 
+/// The first backoff, before jitter.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// The pauses between attempts to open one stream.
+/// The backoff of one stream.
 pub(super) struct Backoff {
     pause: Duration,
     max_pause: Duration,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The pause before the next attempt: by chance up to twice as long as without jitter.
+    /// The pause before the next attempt to connect; jitter lengthens it by a random factor of up to 2.
     pub(super) fn next_pause(&mut self) -> Duration {
         let factor = f64::from(1.0 + self.jitter.rand_float());
         let micros = whole_micros(self.pause) as f64 * factor;
@@ -32,7 +33,7 @@
         Duration::from_micros(micros as u64)
     }
 
-    /// The stream has delivered something.
+    /// Starts again with the first pause, because the stream has delivered something.
     pub(super) fn reset(&mut self) {
         self.pause = FIRST_PAUSE;
     }
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -1,18 +1,18 @@
-//! A stream that always stands. When it moves to another address, or is due for renewal, the new stream takes the
-//! current one's place only once it has delivered something: what the server sends in between would be missed.
+//! A stream without gaps. When its address changes or it is due for renewal, a second stream is opened. The current one
+//! is closed only after the new one has delivered something, so that nothing is missed in between.
 
 use std::net::SocketAddr;
 
 use calloop::Readiness;
 
 use super::{LineError, ReconnectingStream, StreamError, StreamTimeouts};
-use crate::connection::{Component, IoContext, Owner};
+use crate::context::{Component, IoContext, Owner};
+use crate::ids::SlotKey;
 
-/// The slot of the deadline for renewal; streams count their slots from 0.
-const RENEWAL_SLOT: u64 = u64::MAX;
+/// The slot of the deadline for renewal; the slots of streams count from 0.
+const RENEWAL_SLOT: SlotKey = SlotKey::new(u64::MAX);
 
-/// The current stream and, during a hand-over, the previous one. Each stream has a slot of its own, one higher than the
-/// last one's.
+/// The current stream and, during a hand-over, the previous one. Each new stream gets the next slot.
 pub struct PersistentStream {
     current: ReconnectingStream,
     previous: Option<ReconnectingStream>,
@@ -20,14 +20,14 @@
 }
 
 impl PersistentStream {
-    /// A component's stream, not open yet.
+    /// The stream of a component, not open yet.
     pub fn new(
         component: Component,
         address: SocketAddr,
         timeouts: StreamTimeouts,
         seed: u64,
     ) -> PersistentStream {
-        let owner = Owner::new(component, 0);
+        let owner = Owner::only(component);
         PersistentStream {
             current: ReconnectingStream::new(owner, address, timeouts, seed),
             previous: None,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Moves to another address; returns whether it is another one.
+    /// Moves to another address. Returns whether it differs from the current one.
     pub fn change_address(
         &mut self,
         address: SocketAddr,
@@ -63,12 +63,12 @@
         true
     }
 
-    /// Puts a new stream in the current one's place. Of the two others the one that has delivered goes on: the current
-    /// one if it has, else the previous one.
+    /// Replaces the current stream by a new one. Of the two others, the one that has delivered something continues: the
+    /// current one if it has, else the previous one.
     fn replace_current(&mut self, address: SocketAddr, context: &mut IoContext) {
         let Owner { component, slot } = self.current.owner();
         let next = ReconnectingStream::new(
-            Owner::new(component, slot + 1),
+            Owner::new(component, slot.next()),
             address,
             self.current.timeouts(),
             self.seed,
@@ -88,8 +88,9 @@
         }
     }
 
-    /// A slot's deadline is due. Whether the current stream is to be opened now; a previous one never is.
-    pub fn on_deadline(&mut self, slot: u64, context: &mut IoContext) -> bool {
+    /// The deadline of a slot has expired. Returns whether the current stream has to be opened now; a previous one is
+    /// never opened again.
+    pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) -> bool {
         if slot == self.current.owner().slot {
             return self.current.on_deadline(context);
         }
@@ -100,14 +101,14 @@
         false
     }
 
-    /// Whether the current stream, now a new one, is to be opened.
+    /// Replaces a stream that works. Returns whether the new current stream has to be opened.
     fn renew(&mut self, context: &mut IoContext) -> bool {
         if self.current.has_delivered() {
             self.replace_current(self.current.address(), context);
             return true;
         }
-        // Open for so long and still nothing delivered, not even that nothing changes: it is as silent as one that has
-        // stopped, and this instance would count as notified of what it misses before its silence ends it.
+        // The stream has delivered nothing for a whole interval, not even a keep-alive. Waiting for its silence to end
+        // it takes longer than the time after which this instance is held to the changes that it misses.
         if self.current.is_responding() {
             self.current
                 .close_for_now(&StreamError::NothingDelivered, context);
@@ -116,8 +117,8 @@
         false
     }
 
-    /// A stream's socket has become ready.
-    pub fn on_ready(&mut self, slot: u64, readiness: Readiness) {
+    /// The socket of a stream became ready.
+    pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         for stream in [Some(&mut self.current), self.previous.as_mut()]
             .into_iter()
             .flatten()
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Hands over the whole lines that have come, the previous stream's first; as [`ReconnectingStream::serve`].
+    /// Delivers the complete lines received, those of the previous stream first; see [`ReconnectingStream::serve`].
     pub fn serve(
         &mut self,
         context: &mut IoContext,
@@ -135,7 +136,7 @@
     ) {
         if let Some(previous) = &mut self.previous {
             previous.serve(context, &mut on_line);
-            // Its server has ended it, as it should.
+            // Its server has closed it, as expected after a change of address.
             if !previous.is_open() {
                 self.drop_previous(context);
             }
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -1,44 +1,46 @@
-//! One HTTP response that never ends: opened again, after a backoff, when it ends or falls silent.
+//! One HTTP response without an end; it is opened again, after a backoff, when it ends or falls silent.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use calloop::Readiness;
-use slog::info;
 
 use super::backoff::Backoff;
 use super::{LineError, StreamError, StreamTimeouts};
 use crate::buffers::Fill;
-use crate::connection::{Connection, IoContext, Owner};
+use crate::connection::Connection;
+use crate::context::{IoContext, Owner};
 use crate::http;
+use crate::log_lines;
 
-/// What has begun goes on at once, or has stopped short: the server may show life and send the rest to nobody.
+/// Time limit for the rest of a message. A server that stops within a message may still send keep-alives.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Bytes read before they are handled.
 const READ_AHEAD: usize = 256 * 1024;
 
-/// The stream's connection and what has come over it.
+/// The connection of the stream and what was received over it.
 struct OpenStream {
     connection: Connection,
     response: http::Response,
-    /// What of a message over several lines has come; kept by the consumer.
+    /// The lines of an incomplete message; maintained by the consumer.
     partial_message: String,
 }
 
 enum State {
-    /// Not opened yet, or waiting for its backoff to pass.
+    /// Not opened yet, or waiting for the end of its backoff.
     Closed,
     /// Connecting, or reading the response.
     Open(Box<OpenStream>),
 }
 
-/// What a round of reading came to.
+/// The result of reading all available bytes.
 struct Received {
     /// How the last read ended.
     fill: io::Result<Fill>,
-    /// Anything at all has come.
+    /// At least one byte was received.
     any_bytes: bool,
-    /// Whether the response is well-formed and not declined.
+    /// Whether the response is valid and has a status of success.
     response: Result<(), StreamError>,
 }
 
@@ -71,26 +73,26 @@
     }
 }
 
-/// A stream from one address, opened again whenever it ends.
+/// A stream from one address that is opened again whenever it ends.
 pub struct ReconnectingStream {
     owner: Owner,
     address: SocketAddr,
     timeouts: StreamTimeouts,
     backoff: Backoff,
     state: State,
-    /// It has delivered a whole message since it was last opened.
+    /// It has delivered a complete message since it was last opened.
     has_delivered: bool,
 }
 
 impl ReconnectingStream {
-    /// A stream that is not open yet. Streams of one seed differ in their jitter if their owners differ.
+    /// A stream that is not open yet. Streams with the same seed have different jitter if their owners differ.
     pub fn new(
         owner: Owner,
         address: SocketAddr,
         timeouts: StreamTimeouts,
         seed: u64,
     ) -> ReconnectingStream {
-        let jitter_seed = seed ^ ((owner.component as u64) << 32) ^ owner.slot;
+        let jitter_seed = seed ^ ((owner.component as u64) << 32) ^ owner.slot.get();
         ReconnectingStream {
             owner,
             address,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Whose deadline and sockets it uses.
+    /// The owner of its deadline and its sockets.
     pub(super) fn owner(&self) -> Owner {
         self.owner
     }
@@ -114,22 +116,22 @@
         self.timeouts
     }
 
-    /// Whether it has delivered a whole message since it was last opened.
+    /// Whether it has delivered a complete message since it was last opened.
     pub(super) fn has_delivered(&self) -> bool {
         self.has_delivered
     }
 
-    /// Whether it has a connection, though it may not be up yet.
+    /// Whether it has a connection, which may not be established yet.
     pub(super) fn is_open(&self) -> bool {
         matches!(self.state, State::Open(_))
     }
 
-    /// Whether its server has begun to respond.
+    /// Whether its server has started to respond.
     pub(super) fn is_responding(&self) -> bool {
         matches!(&self.state, State::Open(open) if open.response.has_head())
     }
 
-    /// Connects and asks for `path`.
+    /// Connects and requests `path`.
     pub fn open(&mut self, path: &str, context: &mut IoContext) {
         self.has_delivered = false;
         let mut connection = match Connection::open(context, self.address, self.owner) {
@@ -146,16 +148,16 @@
         context.deadlines.set(self.owner, context.now + timeout);
     }
 
-    /// Ends the connection; the stream is to be opened again after the backoff.
+    /// Closes the connection and starts the backoff.
     pub(super) fn close_for_now(&mut self, reason: &StreamError, context: &mut IoContext) {
         let pause = self.backoff.next_pause();
-        info!(context.log, "stream ended"; "part" => ?self.owner.component,
-            "why" => %reason, "reconnect_ms" => pause.as_millis());
+        log_lines::stream_ended(&context.log, self.owner.component, reason, pause);
         self.state = State::Closed;
         context.deadlines.set(self.owner, context.now + pause);
     }
 
-    /// Its deadline is due: it has been silent, or its backoff has passed. Whether it is to be opened now.
+    /// Its deadline has expired: it has been silent for too long, or its backoff has ended. Returns whether it has to be
+    /// opened now.
     pub fn on_deadline(&mut self, context: &mut IoContext) -> bool {
         match self.state {
             State::Open(_) => {
@@ -166,17 +168,17 @@
         }
     }
 
-    /// Its socket has become ready.
+    /// Its socket became ready.
     pub fn on_ready(&mut self, readiness: Readiness) {
         if let State::Open(open) = &mut self.state {
             open.connection.on_ready(readiness);
         }
     }
 
-    /// Hands over the whole lines that have come; what is not read for want of buffers waits for the next call.
+    /// Delivers the complete lines received; bytes that were not read for lack of buffers are left to the next call.
     ///
-    /// `on_line` gets the line, what it has kept of an unfinished message, and the context. It leaves the second empty
-    /// when the message is whole.
+    /// `on_line` gets the line, the lines of an incomplete message that it has kept, and the context. It clears the
+    /// second when the message is complete.
     pub fn serve(
         &mut self,
         context: &mut IoContext,
@@ -223,11 +225,11 @@
         let mut result = Ok(());
         let lines = open.response.take_lines(|line| {
             self.backoff.reset();
-            // What follows something that cannot be used is worth no more than that.
+            // Lines after a rejected one are not delivered.
             if result.is_ok() {
                 result = on_line(line, partial_message, context);
             }
-            // A part of a message takes no earlier stream's place.
+            // Part of a message is not enough to replace another stream.
             self.has_delivered |= result.is_ok() && partial_message.is_empty();
         });
         result.map_err(StreamError::Content)?;
@@ -235,7 +237,7 @@
     }
 }
 
-/// Whether the connection is still open and the response goes on.
+/// Whether the connection is still open and the response continues.
 fn check_open(fill: io::Result<Fill>, is_complete: bool) -> Result<(), StreamError> {
     match fill? {
         Fill::Ended => Err(StreamError::Closed),
--- /dev/null
+++ b/crates/proxy/src/upstream.rs
@@ -0,0 +1,227 @@
+//! Connections to endpoints, each with at most one attempt or health check at a time.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `exchange` | one attempt or health check |
+//! | `connection` | the states of one connection |
+//! | `pool` | choosing an idle connection for an exchange, or opening a new one |
+//! | `sending` | starting, writing and cancelling exchanges |
+//! | `receiving` | handling what endpoints send |
+//! | `ending` | ending exchanges and notifying clients and the policy |
+//! | [`outcomes`] | how an exchange can end without a valid response |
+//!
+//! Invariants: a connection in the `idle` list of an endpoint is in the table and carries no exchange; the policy is
+//! notified exactly once of the end of each exchange.
+
+mod connection;
+mod ending;
+mod exchange;
+pub mod outcomes;
+mod pool;
+mod receiving;
+mod sending;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use calloop::Readiness;
+use tidescale_policy::Balancer;
+use tidescale_policy::types::{AttemptOutcome, BuildNumber, Timestamp};
+use tidescale_settings::ConnectionSettings;
+
+use crate::clients::Clients;
+use crate::context::{IoContext, Owner};
+use crate::ids::EndpointConnectionKey;
+use crate::slots::Slots;
+
+use connection::EndpointConnection;
+use exchange::{EndedExchange, HealthCheckQuery};
+
+pub use exchange::NewExchange;
+pub use outcomes::{
+    AnswerError, AttemptError, AttemptErrorCause, RequestProgress, outcome_of_sqlstate,
+};
+
+/// What distinguishes a process from another one under the same endpoint name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProcessIdentity {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The build that it runs.
+    pub build: BuildNumber,
+    /// When it started; `None` if it has run for longer than it takes to warm up.
+    pub started_at: Option<Timestamp>,
+}
+
+/// The state of an endpoint in the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointListing {
+    /// It is not in the list any more.
+    Removed,
+    /// It gets no new attempts, but may be health checked.
+    Draining(ProcessIdentity),
+    /// It gets new attempts.
+    Ready(ProcessIdentity),
+}
+
+impl EndpointListing {
+    /// The listed process.
+    fn process(self) -> Option<ProcessIdentity> {
+        match self {
+            EndpointListing::Removed => None,
+            EndpointListing::Draining(process) | EndpointListing::Ready(process) => Some(process),
+        }
+    }
+
+    fn is_ready(self) -> bool {
+        matches!(self, EndpointListing::Ready(_))
+    }
+}
+
+/// A listed endpoint and its idle connections.
+#[derive(Default)]
+struct Endpoint {
+    process: Option<ProcessIdentity>,
+    is_ready: bool,
+    /// The connection that was used last is used first, so that surplus connections stay idle until they expire.
+    idle: Vec<EndpointConnectionKey>,
+}
+
+/// What the handling of a connection to an endpoint works with: I/O, the clients that wait for responses, and the
+/// policy to notify.
+pub struct ExchangeContext<'a> {
+    /// The shared resources for I/O.
+    pub io: &'a mut IoContext,
+    /// The clients.
+    pub clients: &'a mut Clients,
+    /// The policy.
+    pub policy: &'a mut Balancer,
+}
+
+/// All endpoints and the connections to them.
+pub struct Upstream {
+    endpoints: BTreeMap<String, Endpoint>,
+    connections: Slots<EndpointConnection, EndpointConnectionKey>,
+    settings: ConnectionSettings,
+    /// Exchanges that ended outside the handling of events; the policy is notified in the next iteration.
+    ended: Vec<EndedExchange>,
+    /// Connections with more to read than was read in this iteration.
+    pending: Vec<EndpointConnectionKey>,
+    /// When a reused connection last broke with a written request that was not answered.
+    last_stale_at: Option<Timestamp>,
+}
+
+impl Upstream {
+    /// No endpoints yet; at most `max_connections` connections at a time.
+    pub fn new(settings: ConnectionSettings, max_connections: usize) -> Upstream {
+        Upstream {
+            endpoints: BTreeMap::new(),
+            connections: Slots::new(max_connections),
+            settings,
+            ended: Vec::new(),
+            pending: Vec::new(),
+            last_stale_at: None,
+        }
+    }
+
+    /// There is work to do before the event loop reports anything.
+    pub fn has_pending_work(&self, context: &IoContext) -> bool {
+        !self.ended.is_empty() || !self.pending.is_empty() && !context.pool.is_empty()
+    }
+
+    /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts, its idle connections
+    /// are closed. So are those that are being established: their attempts end as not sent.
+    pub fn update_endpoint(
+        &mut self,
+        name: &str,
+        listing: EndpointListing,
+        context: &mut IoContext,
+    ) {
+        let process = listing.process();
+        let endpoint = self.endpoints.entry(name.into()).or_default();
+        let is_changed = endpoint.process != process;
+        endpoint.process = process;
+        endpoint.is_ready = listing.is_ready();
+        if is_changed || !endpoint.is_ready {
+            for key in std::mem::take(&mut endpoint.idle) {
+                self.close(key, context);
+            }
+            self.close_connecting(name, context);
+        }
+        if process.is_none() {
+            self.endpoints.remove(name);
+        }
+    }
+
+    fn close_connecting(&mut self, name: &str, context: &mut IoContext) {
+        let connecting: Vec<EndpointConnectionKey> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_connecting() && connection.endpoint == name)
+            .map(|(key, _)| key)
+            .collect();
+        for key in connecting {
+            let exchange = self
+                .connections
+                .get_mut(key)
+                .and_then(EndpointConnection::take_exchange);
+            self.close(key, context);
+            if let Some(exchange) = exchange {
+                self.end_later(exchange.job, name, AttemptOutcome::NotSent);
+            }
+        }
+    }
+
+    /// The process that is listed under the name of an endpoint.
+    pub fn process_of(&self, name: &str) -> Option<ProcessIdentity> {
+        self.endpoints.get(name)?.process
+    }
+
+    /// The names of all listed endpoints, in order.
+    pub fn endpoint_names(&self) -> Vec<String> {
+        self.endpoints.keys().cloned().collect()
+    }
+
+    /// Records a readiness report of the event loop.
+    pub fn on_ready(&mut self, key: EndpointConnectionKey, readiness: Readiness) {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.connection.on_ready(readiness);
+        }
+    }
+
+    /// Takes the connections that have more to read than was read in the last iteration.
+    pub fn take_pending(&mut self) -> Vec<EndpointConnectionKey> {
+        std::mem::take(&mut self.pending)
+    }
+
+    /// Limits the deadlines of all exchanges in flight.
+    pub fn begin_shutdown(&mut self, deadline: Timestamp, context: &mut IoContext) {
+        let keys: Vec<EndpointConnectionKey> =
+            self.connections.iter().map(|(key, _)| key).collect();
+        for key in keys {
+            let Some(connection) = self.connections.get_mut(key) else {
+                continue;
+            };
+            let exchange = connection
+                .exchange_mut()
+                .filter(|exchange| exchange.deadline > deadline);
+            if let Some(exchange) = exchange {
+                exchange.deadline = deadline;
+                let deadline = connection.limit_by_connect_deadline(deadline);
+                set_deadline(key, deadline, context);
+            }
+        }
+    }
+
+    fn health_check_query(&self) -> HealthCheckQuery {
+        if self.settings.load_on_demand {
+            HealthCheckQuery::LoadReport
+        } else {
+            HealthCheckQuery::Ping
+        }
+    }
+}
+
+fn set_deadline(key: EndpointConnectionKey, at: Timestamp, context: &mut IoContext) {
+    context.deadlines.set(Owner::endpoint(key), at);
+}
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,118 +1,60 @@
-//! One connection to an endpoint: its life as a state machine, and the exchange that it carries.
+//! The states of one connection to an endpoint, and the response that it receives.
 
-use tidescale_policy::types::{AttemptOutcome, LoadReport, Timestamp};
+use tidescale_policy::types::{AttemptOutcome, Timestamp};
 
 use super::ProcessIdentity;
+use super::exchange::{Exchange, HealthCheckQuery, Job};
 use super::outcomes::{AnswerError, RequestProgress};
-use crate::buffers::Chain;
 use crate::connection::Connection;
 use crate::load_report;
 use crate::postgres::framing::MESSAGE_HEAD;
 use crate::postgres::{self, EndpointMessage, Frame};
 
-/// What an exchange is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Job {
-    /// An attempt of a request, by its index among the request's attempts.
-    Attempt { request: u64, attempt_index: usize },
-    /// A health check of the endpoint.
-    HealthCheck,
-}
-
-/// An attempt or a health check, from its start until the policy has been notified of its end.
-pub(super) struct Exchange {
-    pub(super) job: Job,
-    pub(super) started_at: Timestamp,
-    /// When it has timed out.
-    pub(super) deadline: Timestamp,
-    pub(super) progress: RequestProgress,
-    pub(super) load: Option<LoadReport>,
-    /// The answer as far as it has come, held back until it is whole.
-    pub(super) answer: Chain,
-    /// The part of the answer that has to come next.
-    pub(super) next_part: EndpointMessage,
-    /// How it ended, until all that came with the answer has been read: the load report may follow it.
-    pub(super) outcome: Option<AttemptOutcome>,
-}
-
-impl Exchange {
-    pub(super) fn new(job: Job, deadline: Timestamp, now: Timestamp, answer: Chain) -> Exchange {
-        Exchange {
-            job,
-            started_at: now,
-            deadline,
-            progress: RequestProgress::NotWritten,
-            load: None,
-            answer,
-            next_part: EndpointMessage::RowDescription,
-            outcome: None,
-        }
-    }
-
-    /// Its request was written whole and no part of an answer has come.
-    pub(super) fn is_unanswered(&self) -> bool {
-        self.progress == RequestProgress::Written
-            && self.next_part == EndpointMessage::RowDescription
-    }
-}
-
-/// Where a connection to an endpoint is in its life.
+/// The state of a connection to an endpoint.
 pub(super) enum ConnectionState {
-    /// It is being made: the endpoint has not said that it takes a query.
+    /// It is being established: the endpoint has not sent ReadyForQuery yet.
     Connecting {
-        /// When it has to be made.
+        /// When establishing it times out.
         deadline: Timestamp,
-        /// What is sent over it then; none once the endpoint has refused the connection.
+        /// The exchange to carry afterwards; none once the endpoint has refused the connection.
         exchange: Option<Exchange>,
     },
     /// It carries an attempt or a health check.
     Busy(Exchange),
-    /// The answer has come, or none is awaited any more; the endpoint has still to say that it takes the next query.
+    /// The response was received, or none is awaited any more; the endpoint has to send ReadyForQuery.
     Draining,
-    /// Nothing is under way; it is kept for the next attempt.
+    /// It is kept for another exchange.
     Idle,
 }
 
-/// What is written when a connection can carry its exchange.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HealthCheckQuery {
-    /// Asks for the load report, where that comes only to those who ask.
-    LoadReport,
-    /// Asks for nothing but an answer.
-    Ping,
-}
-
-impl HealthCheckQuery {
-    pub(super) fn text(self) -> &'static [u8] {
-        match self {
-            HealthCheckQuery::LoadReport => b"SHOW vitals",
-            HealthCheckQuery::Ping => b"SELECT 1",
-        }
-    }
-}
-
+/// A connection to an endpoint.
 pub(super) struct EndpointConnection {
     pub(super) connection: Connection,
-    /// The endpoint's name.
+    /// The name of the endpoint.
     pub(super) endpoint: String,
-    /// The process that it was connected to.
+    /// The process that it was opened to.
     pub(super) process: ProcessIdentity,
     pub(super) state: ConnectionState,
     /// When an exchange last started on it, or it last became idle.
     pub(super) last_used_at: Timestamp,
-    /// It has carried an exchange to its end.
-    pub(super) has_served: bool,
+    /// It has completed an exchange before.
+    pub(super) is_reused: bool,
 }
 
 impl EndpointConnection {
-    /// When it has to be made; none once it is.
-    pub(super) fn connect_deadline(&self) -> Option<Timestamp> {
+    fn connect_deadline(&self) -> Option<Timestamp> {
         match self.state {
             ConnectionState::Connecting { deadline, .. } => Some(deadline),
             _ => None,
         }
     }
 
+    /// The earlier one of a deadline and the one for establishing the connection, while that is in progress.
+    pub(super) fn limit_by_connect_deadline(&self, deadline: Timestamp) -> Timestamp {
+        self.connect_deadline()
+            .map_or(deadline, |at| at.min(deadline))
+    }
+
     pub(super) fn is_connecting(&self) -> bool {
         self.connect_deadline().is_some()
     }
@@ -134,13 +76,13 @@
         }
     }
 
-    /// The exchange, while its outcome is not known.
+    /// The exchange, while its outcome is unknown.
     pub(super) fn open_exchange(&mut self) -> Option<&mut Exchange> {
         self.exchange_mut()
             .filter(|exchange| exchange.outcome.is_none())
     }
 
-    /// Gives the connection an exchange to carry, at once or once it is made.
+    /// Assigns an exchange to carry, either now or once the connection is established.
     pub(super) fn assign(&mut self, new: Exchange) {
         match &mut self.state {
             ConnectionState::Connecting { exchange, .. } => *exchange = Some(new),
@@ -148,7 +90,7 @@
         }
     }
 
-    /// Takes the exchange off the connection.
+    /// Removes the exchange from the connection.
     pub(super) fn take_exchange(&mut self) -> Option<Exchange> {
         if let ConnectionState::Connecting { exchange, .. } = &mut self.state {
             return exchange.take();
@@ -162,7 +104,7 @@
         }
     }
 
-    /// The connection is made: what it was made for can go over it.
+    /// The connection is established: its exchange can be written.
     pub(super) fn finish_connecting(&mut self) {
         if !self.is_connecting() {
             return;
@@ -183,10 +125,18 @@
         }
     }
 
-    /// Takes one of the three parts of an answer.
+    /// Removes a message from the input and copies its body.
+    pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
+        let input = &mut self.connection.input;
+        body.clear();
+        input.copy(MESSAGE_HEAD..frame.length, body);
+        input.skip(frame.length);
+    }
+
+    /// Moves one of the three parts of a response from the input to the exchange.
     ///
     /// # Errors
-    /// No answer is awaited, or another part, or the part has another form.
+    /// No response is awaited, another part has to come first, or the part is invalid.
     pub(super) fn take_answer_part(
         &mut self,
         frame: Frame<EndpointMessage>,
--- /dev/null
+++ b/crates/proxy/src/upstream/ending.rs
@@ -0,0 +1,160 @@
+//! Ending exchanges: forwarding responses to clients and notifying the policy.
+
+use std::time::Duration;
+
+use tidescale_policy::Balancer;
+use tidescale_policy::types::{AttemptOutcome, AttemptResult};
+
+use super::connection::EndpointConnection;
+use super::exchange::{EndedExchange, Exchange, Job};
+use super::outcomes::{AnswerError, AttemptError, AttemptErrorCause};
+use super::{ExchangeContext, Upstream, set_deadline};
+use crate::clients::Clients;
+use crate::ids::EndpointConnectionKey;
+use crate::log_lines;
+
+impl Upstream {
+    /// Records that an exchange has ended outside the handling of events.
+    pub(super) fn end_later(&mut self, job: Job, endpoint: &str, outcome: AttemptOutcome) {
+        self.ended.push(EndedExchange {
+            job,
+            endpoint: endpoint.to_string(),
+            outcome,
+            duration: Duration::ZERO,
+            load: None,
+        });
+    }
+
+    /// Notifies the policy of exchanges that ended outside the handling of events.
+    pub fn notify_ended_exchanges(&mut self, clients: &mut Clients, policy: &mut Balancer) {
+        for ended in std::mem::take(&mut self.ended) {
+            ended.notify(clients, policy);
+        }
+    }
+
+    /// Ends an exchange that the endpoint has answered. The connection then waits for ReadyForQuery.
+    pub(super) fn finish_answered(
+        &mut self,
+        key: EndpointConnectionKey,
+        context: &mut ExchangeContext<'_>,
+    ) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Some(outcome) = connection.exchange().and_then(|exchange| exchange.outcome) else {
+            return;
+        };
+        let Some(exchange) = connection.take_exchange() else {
+            return;
+        };
+        let endpoint = connection.endpoint.clone();
+        let deadline = context.io.now + self.settings.connect_timeout;
+        set_deadline(key, deadline, context.io);
+        exchange.finish(endpoint, outcome, context);
+    }
+
+    /// Closes a connection that cannot continue, and ends its exchange.
+    pub(super) fn fail(
+        &mut self,
+        key: EndpointConnectionKey,
+        cause: AttemptErrorCause,
+        context: &mut ExchangeContext<'_>,
+    ) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let was_stale = is_stale(connection, &cause);
+        let exchange = connection.take_exchange();
+        let endpoint = connection.endpoint.clone();
+        if was_stale {
+            self.last_stale_at = Some(context.io.now);
+        }
+        if let AttemptErrorCause::Malformed(error) = &cause {
+            log_lines::invalid_endpoint_message(&context.io.log, &endpoint, error);
+        }
+        self.close(key, context.io);
+        if let Some(exchange) = exchange {
+            let error = AttemptError {
+                progress: exchange.progress,
+                cause,
+            };
+            log_lines::exchange_failed(&context.io.log, &endpoint, &error);
+            exchange.finish(endpoint, error.outcome(), context);
+        }
+    }
+
+    /// Closes a connection whose handler has panicked.
+    pub fn close_after_panic(
+        &mut self,
+        key: EndpointConnectionKey,
+        context: &mut ExchangeContext<'_>,
+    ) {
+        let cause = AttemptErrorCause::Malformed(AnswerError::Panicked);
+        self.fail(key, cause, context);
+    }
+
+    /// The time limit for connecting, for a response or for an idle connection has expired.
+    pub fn on_deadline(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
+        self.fail(key, AttemptErrorCause::TimedOut, context);
+    }
+}
+
+/// A reused connection was lost with a written request that was not answered at all: it may have been dead before.
+fn is_stale(connection: &EndpointConnection, cause: &AttemptErrorCause) -> bool {
+    let is_unanswered = connection.exchange().is_some_and(Exchange::is_unanswered);
+    let is_connection_lost = matches!(
+        cause,
+        AttemptErrorCause::ConnectionBroken(_) | AttemptErrorCause::ConnectionClosed
+    );
+    connection.is_reused && is_unanswered && is_connection_lost
+}
+
+impl Exchange {
+    /// Forwards a complete response to the client and notifies the policy of the end.
+    fn finish(
+        mut self,
+        endpoint: String,
+        outcome: AttemptOutcome,
+        context: &mut ExchangeContext<'_>,
+    ) {
+        if let Job::Attempt(id) = self.job {
+            match outcome {
+                AttemptOutcome::Succeeded => {
+                    context
+                        .clients
+                        .complete_request(id.request, &mut self.answer);
+                }
+                AttemptOutcome::InvalidRequest => {
+                    context.clients.answer_invalid_request(id.request);
+                }
+                _ => {}
+            }
+        }
+        let ended = EndedExchange {
+            job: self.job,
+            endpoint,
+            outcome,
+            duration: context.io.now - self.started_at,
+            load: self.load,
+        };
+        ended.notify(context.clients, context.policy);
+    }
+}
+
+impl EndedExchange {
+    fn notify(self, clients: &mut Clients, policy: &mut Balancer) {
+        match self.job {
+            Job::Attempt(id) => {
+                let result = AttemptResult {
+                    outcome: self.outcome,
+                    duration: self.duration,
+                    request_finished: !clients.is_waiting(id.request),
+                    load: self.load,
+                };
+                policy.on_attempt_result(id, result);
+                clients.on_attempt_ended(id);
+            }
+            Job::HealthCheck => policy.on_health_check(&self.endpoint, self.outcome, self.load),
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -0,0 +1,111 @@
+//! One attempt or health check, from its start until the policy has been notified of its end.
+
+use std::time::Duration;
+
+use tidescale_policy::types::{AttemptId, AttemptOutcome, LoadReport, Timestamp};
+
+use super::outcomes::RequestProgress;
+use crate::buffers::Chain;
+use crate::postgres::EndpointMessage;
+
+/// The purpose of an exchange.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Job {
+    /// An attempt of a request.
+    Attempt(AttemptId),
+    /// A health check of the endpoint.
+    HealthCheck,
+}
+
+/// An exchange to start.
+#[derive(Clone, Copy, Debug)]
+pub struct NewExchange<'a> {
+    pub(super) job: Job,
+    pub(super) endpoint: &'a str,
+    pub(super) deadline: Timestamp,
+}
+
+impl<'a> NewExchange<'a> {
+    /// An attempt of a request at an endpoint.
+    pub fn attempt(id: AttemptId, endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
+        NewExchange {
+            job: Job::Attempt(id),
+            endpoint,
+            deadline,
+        }
+    }
+
+    /// A health check of an endpoint.
+    pub fn health_check(endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
+        NewExchange {
+            job: Job::HealthCheck,
+            endpoint,
+            deadline,
+        }
+    }
+}
+
+/// An exchange in flight.
+pub(super) struct Exchange {
+    pub(super) job: Job,
+    pub(super) started_at: Timestamp,
+    /// When it times out.
+    pub(super) deadline: Timestamp,
+    pub(super) progress: RequestProgress,
+    pub(super) load: Option<LoadReport>,
+    /// The part of the response that was received. It is forwarded only when it is complete.
+    pub(super) answer: Chain,
+    /// The part of the response that has to come next.
+    pub(super) next_part: EndpointMessage,
+    /// How it ended. It is kept until all available input has been read, because the load report may follow the
+    /// response.
+    pub(super) outcome: Option<AttemptOutcome>,
+}
+
+impl Exchange {
+    pub(super) fn new(job: Job, deadline: Timestamp, now: Timestamp, answer: Chain) -> Exchange {
+        Exchange {
+            job,
+            started_at: now,
+            deadline,
+            progress: RequestProgress::NotWritten,
+            load: None,
+            answer,
+            next_part: EndpointMessage::RowDescription,
+            outcome: None,
+        }
+    }
+
+    /// Its request was written completely and no part of a response was received.
+    pub(super) fn is_unanswered(&self) -> bool {
+        self.progress == RequestProgress::Written
+            && self.next_part == EndpointMessage::RowDescription
+    }
+}
+
+/// An exchange that has ended, as the policy is notified of it.
+pub(super) struct EndedExchange {
+    pub(super) job: Job,
+    pub(super) endpoint: String,
+    pub(super) outcome: AttemptOutcome,
+    pub(super) duration: Duration,
+    pub(super) load: Option<LoadReport>,
+}
+
+/// The query that a health check sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HealthCheckQuery {
+    /// Asks for the load report, for endpoints that send it only on demand.
+    LoadReport,
+    /// Asks for any response.
+    Ping,
+}
+
+impl HealthCheckQuery {
+    pub(super) fn text(self) -> &'static [u8] {
+        match self {
+            HealthCheckQuery::LoadReport => b"SHOW vitals",
+            HealthCheckQuery::Ping => b"SELECT 1",
+        }
+    }
+}
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts and health checks end without a good answer, and what that says of the request. No I/O.
+//! How attempts and health checks end without a valid response, and what follows for the request. No I/O.
 
 use std::fmt;
 use std::io;
@@ -8,14 +8,14 @@
 
 use crate::postgres::{ProtocolError, sqlstate};
 
-/// How far a request was written to its endpoint.
+/// How much of a request was written to its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Not one byte.
+    /// Nothing.
     NotWritten,
-    /// Not its last byte: the endpoint cannot have executed it.
+    /// Not the last byte: the endpoint cannot have executed it.
     PartlyWritten,
-    /// Its last byte too: the endpoint may have executed it.
+    /// All of it: the endpoint may have executed it.
     Written,
 }
 
@@ -29,51 +29,51 @@
     }
 }
 
-/// Why what an endpoint sent cannot be used.
+/// Why an endpoint's message is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AnswerError {
-    /// It is no message that an endpoint may send.
+    /// Endpoints may not send such a message.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// It answers where nothing was asked, or a second time.
+    /// A response without a query, or a second one.
     #[error("an answer to nothing")]
     Unrequested,
-    /// The parts of an answer come in another order than they must.
+    /// The parts of a response are in the wrong order.
     #[error("an answer out of order")]
     OutOfOrder,
-    /// The endpoint takes the next query without an answer to this one.
+    /// The endpoint accepts another query without a response to this one.
     #[error("no answer to a query")]
     Missing,
-    /// The proxy itself panicked over it.
+    /// The proxy panicked while handling it.
     #[error("panic")]
     Panicked,
 }
 
-/// Why an attempt or a health check ended without an answer.
+/// Why an attempt or a health check ended without a response.
 #[derive(Debug, Error)]
 pub enum AttemptErrorCause {
-    /// The connection broke, or was never made.
+    /// The connection broke or was not established.
     #[error("{0}")]
     ConnectionBroken(#[source] io::Error),
     /// The endpoint closed the connection.
     #[error("closed")]
     ConnectionClosed,
-    /// What came is of no use.
+    /// The endpoint sent an invalid message.
     #[error("{0}")]
     Malformed(#[source] AnswerError),
-    /// Its deadline, or the connection's, has passed.
+    /// A deadline has expired.
     #[error("no answer in time")]
     TimedOut,
-    /// The policy gave it up.
+    /// The policy cancelled it.
     #[error("cancelled")]
     Cancelled,
 }
 
-/// An attempt or a health check that ended without an answer.
+/// An attempt or a health check that ended without a response.
 #[derive(Debug, Error)]
 #[error("{progress}: {cause}")]
 pub struct AttemptError {
-    /// How far the request was written.
+    /// How much of the request was written.
     pub progress: RequestProgress,
     /// What ended it.
     #[source]
@@ -81,7 +81,7 @@
 }
 
 impl AttemptError {
-    /// The outcome for the policy. Only a request whose last byte was written may have been executed.
+    /// The outcome for the policy. Only a request that was written completely may have been executed.
     pub fn outcome(&self) -> AttemptOutcome {
         match (self.progress, &self.cause) {
             (_, AttemptErrorCause::Cancelled) => AttemptOutcome::Cancelled,
@@ -89,7 +89,7 @@
                 AttemptOutcome::Refused
             }
             (RequestProgress::Written, AttemptErrorCause::TimedOut) => AttemptOutcome::TimedOut,
-            // The endpoint lives and has answered, though with nothing of use.
+            // The endpoint is alive and has sent something, though nothing valid.
             (RequestProgress::Written, AttemptErrorCause::Malformed(_)) => {
                 AttemptOutcome::Malformed
             }
@@ -101,9 +101,9 @@
     }
 }
 
-/// What an endpoint's error says of the attempt, by its SQLSTATE.
+/// The outcome of an attempt that an endpoint answered with an error, by its SQLSTATE.
 pub fn outcome_of_sqlstate(code: &str) -> AttemptOutcome {
-    // No other endpoint would answer these otherwise.
+    // Any other endpoint would answer these requests in the same way.
     let is_invalid_request = code.starts_with(sqlstate::DATA_EXCEPTION_CLASS)
         || code.starts_with(sqlstate::SYNTAX_OR_ACCESS_CLASS);
     match code {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Whether endpoints are known to answer with this SQLSTATE.
+/// Whether endpoints are known to use this SQLSTATE.
 pub(super) fn is_known_sqlstate(code: &str) -> bool {
     matches!(
         code,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Which connection carries the next exchange: an idle one that can be trusted, or a new one.
+//! Choosing the connection for the next exchange: a reliable idle one, or a new one.
 
 use std::io;
 use std::time::Duration;
@@ -8,26 +8,29 @@
 
 use super::connection::{ConnectionState, EndpointConnection};
 use super::{Endpoint, ProcessIdentity, Upstream, set_deadline};
-use crate::connection::{Component, Connection, IoContext, Owner};
+use crate::connection::Connection;
+use crate::context::{IoContext, Owner};
+use crate::ids::EndpointConnectionKey;
 use crate::postgres;
 
-/// For so long after a reused connection broke under a request, what must not be executed twice goes over new ones.
+/// For this long after a reused connection was lost with an unanswered request, requests that must not be executed
+/// twice use new connections.
 const STALE_PERIOD: Duration = Duration::from_millis(10_000);
-/// An endpoint may send an answer twice, some milliseconds apart: the second would be taken for the answer to a request
-/// written meanwhile. A connection therefore stands idle for so long before it is used again.
+/// An endpoint may send a response twice, some milliseconds apart; the duplicate would be taken for the response to the
+/// next request. A connection is therefore idle for at least this long before it is reused.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
 
-/// Whether an idle connection will do.
+/// Which connection an exchange may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionChoice {
-    /// An idle one, where there is one.
+    /// An idle one, if there is one.
     ReuseIdle,
     /// Only a new one.
     OpenNew,
 }
 
 impl Upstream {
-    /// A reused connection may be dead without a sign, and what is written to it may have been executed.
+    /// A reused connection may already be dead. A request written to it is lost, and may have been executed.
     pub(super) fn connection_choice(
         &self,
         is_repeatable: bool,
@@ -41,16 +44,16 @@
         }
     }
 
-    /// A connection that can carry an exchange, at once or once it is made; none when all descriptors are in use.
+    /// A connection that can carry an exchange, now or once it is established; `None` if all descriptors are in use.
     ///
     /// # Errors
-    /// The endpoint is not listed, or the connection cannot even be begun.
+    /// The endpoint is not listed, or connecting fails immediately.
     pub(super) fn acquire(
         &mut self,
         name: &str,
         choice: ConnectionChoice,
         context: &mut IoContext,
-    ) -> io::Result<Option<u64>> {
+    ) -> io::Result<Option<EndpointConnectionKey>> {
         let process = self.process_of(name).ok_or(io::ErrorKind::NotFound)?;
         match choice {
             ConnectionChoice::ReuseIdle => {
@@ -66,17 +69,17 @@
         self.open(name, process, context)
     }
 
-    /// The connection that was used last among those that are fit to be used again; those that are not are closed.
-    fn reuse_idle(&mut self, name: &str, context: &mut IoContext) -> Option<u64> {
+    /// Takes the usable idle connection that was used last; connections that are not usable are closed.
+    fn reuse_idle(&mut self, name: &str, context: &mut IoContext) -> Option<EndpointConnectionKey> {
         let idle = &self.endpoints.get(name)?.idle;
-        let settled: Vec<u64> = idle
+        let settled: Vec<EndpointConnectionKey> = idle
             .iter()
             .rev()
             .filter(|key| self.is_settled(**key, context.now))
             .copied()
             .collect();
         for key in settled {
-            // A close that has come in the meantime would look like a request that may have been executed.
+            // If the endpoint has closed it meanwhile, a request would look as if it might have been executed.
             let is_quiet = self
                 .connections
                 .get(key)
@@ -91,19 +94,19 @@
         None
     }
 
-    fn is_settled(&self, key: u64, now: Timestamp) -> bool {
+    fn is_settled(&self, key: EndpointConnectionKey, now: Timestamp) -> bool {
         self.connections
             .get(key)
             .is_some_and(|connection| connection.last_used_at + SETTLING_TIME <= now)
     }
 
-    fn remove_from_idle(&mut self, name: &str, key: u64) {
+    fn remove_from_idle(&mut self, name: &str, key: EndpointConnectionKey) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.idle.retain(|idle| *idle != key);
         }
     }
 
-    /// A new connection takes the place of the one that has been idle longest.
+    /// Closes the connection that has been idle for longest, which a new one replaces.
     fn close_longest_idle_at(&mut self, name: &str, context: &mut IoContext) {
         let longest = self
             .endpoints
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Closes the connection without an exchange that was used longest ago. Whether there was one.
+    /// Closes the least recently used connection without an exchange. Returns whether there was one.
     fn make_room(&mut self, context: &mut IoContext) -> bool {
         let least_recently_used = self
             .connections
@@ -125,7 +128,7 @@
         let Some(key) = least_recently_used else {
             return false;
         };
-        debug!(context.log, "an idle connection makes room");
+        debug!(context.log, "idle endpoint connection evicted");
         self.close(key, context);
         true
     }
@@ -135,10 +138,10 @@
         name: &str,
         process: ProcessIdentity,
         context: &IoContext,
-    ) -> io::Result<Option<u64>> {
+    ) -> io::Result<Option<EndpointConnectionKey>> {
         let deadline = context.now + self.settings.connect_timeout;
         let inserted = self.connections.insert(|key| {
-            let owner = Owner::new(Component::Endpoint, key);
+            let owner = Owner::endpoint(key);
             let mut connection = Connection::open(context, process.address, owner)?;
             postgres::put_startup(&mut connection.output);
             Ok(EndpointConnection {
@@ -150,19 +153,19 @@
                     exchange: None,
                 },
                 last_used_at: context.now,
-                has_served: false,
+                is_reused: false,
             })
         });
         inserted.transpose()
     }
 
-    /// Keeps a connection for the next exchange there, or closes it where nothing new goes to its process.
-    pub(super) fn keep_idle(&mut self, key: u64, context: &mut IoContext) {
+    /// Keeps a connection for another exchange, or closes it if its process gets no new attempts.
+    pub(super) fn keep_idle(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let is_usable = |endpoint: &&mut Endpoint| {
-            endpoint.is_wanted && endpoint.process == Some(connection.process)
+            endpoint.is_ready && endpoint.process == Some(connection.process)
         };
         let endpoint = self.endpoints.get_mut(&connection.endpoint);
         let Some(endpoint) = endpoint.filter(is_usable) else {
@@ -171,17 +174,15 @@
         endpoint.idle.push(key);
         connection.state = ConnectionState::Idle;
         connection.last_used_at = context.now;
-        connection.has_served = true;
-        // Well before the endpoint closes it, or a request would cross the close and count as executed.
+        connection.is_reused = true;
+        // Well before the endpoint closes it: a request that crosses with the close may have been executed.
         let close_at = context.now + self.settings.idle_timeout / 2;
         set_deadline(key, close_at, context);
     }
 
-    /// Closes a connection, whatever state it is in. An exchange that it carries has to be taken off before.
-    pub(super) fn close(&mut self, key: u64, context: &mut IoContext) {
-        context
-            .deadlines
-            .clear(Owner::new(Component::Endpoint, key));
+    /// Closes a connection in any state. Its exchange has to be taken from it before.
+    pub(super) fn close(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
+        context.deadlines.clear(Owner::endpoint(key));
         if let Some(connection) = self.connections.remove(key) {
             self.remove_from_idle(&connection.endpoint, key);
         }
--- /dev/null
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -0,0 +1,218 @@
+//! Handling what endpoints send: parts of responses, errors, load reports, and ReadyForQuery.
+
+use std::io;
+
+use slog::debug;
+use tidescale_policy::types::AttemptOutcome;
+
+use super::connection::EndpointConnection;
+use super::exchange::Job;
+use super::outcomes::{AnswerError, AttemptErrorCause, is_known_sqlstate, outcome_of_sqlstate};
+use super::{ExchangeContext, Upstream, set_deadline};
+use crate::buffers::Fill;
+use crate::context::IoContext;
+use crate::ids::EndpointConnectionKey;
+use crate::load_report;
+use crate::log_lines;
+use crate::postgres::framing::MAX_DATA_ROW_BODY;
+use crate::postgres::{self, EndpointMessage, Frame, whole_frame};
+
+/// Bytes read before they are handled: the longest message and some more.
+const READ_AHEAD: usize = MAX_DATA_ROW_BODY + 4096;
+/// The parameter with which endpoints report their load.
+const LOAD_PARAMETER: &str = "vitals";
+
+/// Whether the endpoint accepts another query on the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueryReadiness {
+    Ready,
+    NotReady,
+}
+
+impl Upstream {
+    /// Reads what an endpoint has sent, forwards responses and notifies the policy.
+    pub fn serve(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
+        self.write(key, context.io, context.clients);
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let read = connection.connection.read(READ_AHEAD);
+        if matches!(read, Ok(Fill::Starved)) {
+            self.pending.push(key);
+        }
+        let handled = self.handle_messages(key, context);
+        self.finish_answered(key, context);
+        match handled {
+            Err(error) => {
+                return self.fail(key, AttemptErrorCause::Malformed(error), context);
+            }
+            Ok(QueryReadiness::Ready) => self.release(key, context.io),
+            Ok(QueryReadiness::NotReady) => {}
+        }
+        self.continue_after_read(key, read, context);
+    }
+
+    /// Reads again in the next iteration, or ends a connection that has ended.
+    fn continue_after_read(
+        &mut self,
+        key: EndpointConnectionKey,
+        read: io::Result<Fill>,
+        context: &mut ExchangeContext<'_>,
+    ) {
+        match read {
+            Ok(Fill::Enough) => self.pending.push(key),
+            Ok(Fill::Ended) => self.fail(key, AttemptErrorCause::ConnectionClosed, context),
+            Err(error) => self.fail(key, AttemptErrorCause::ConnectionBroken(error), context),
+            Ok(Fill::Drained | Fill::Starved) => {}
+        }
+    }
+
+    /// Keeps a connection whose endpoint accepts another query, unless more was received than one response.
+    fn release(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
+        let has_more = self
+            .connections
+            .get(key)
+            .is_some_and(|connection| !connection.connection.input.is_empty());
+        if has_more {
+            // A duplicate response, for example, would be taken for the response to the next query.
+            self.close(key, context);
+        } else {
+            self.keep_idle(key, context);
+        }
+    }
+
+    /// Handles messages in their order.
+    fn handle_messages(
+        &mut self,
+        key: EndpointConnectionKey,
+        context: &mut ExchangeContext<'_>,
+    ) -> Result<QueryReadiness, AnswerError> {
+        let mut body = Vec::new();
+        let mut readiness = QueryReadiness::NotReady;
+        while let Some(connection) = self.connections.get_mut(key) {
+            let input = &connection.connection.input;
+            let Some(frame) = whole_frame::<EndpointMessage>(input)? else {
+                break;
+            };
+            if frame.kind != EndpointMessage::ReadyForQuery {
+                self.handle_message(key, frame, &mut body, context.io)?;
+                continue;
+            }
+            connection.take_body(frame, &mut body);
+            postgres::check_ready_for_query(&body)?;
+            if self.on_ready_for_query(key, context)? == QueryReadiness::Ready {
+                readiness = QueryReadiness::Ready;
+            }
+        }
+        Ok(readiness)
+    }
+
+    /// Handles a message other than ReadyForQuery.
+    fn handle_message(
+        &mut self,
+        key: EndpointConnectionKey,
+        frame: Frame<EndpointMessage>,
+        body: &mut Vec<u8>,
+        context: &IoContext,
+    ) -> Result<(), AnswerError> {
+        let health_check = self.health_check_query();
+        let Some(connection) = self.connections.get_mut(key) else {
+            return Ok(());
+        };
+        match frame.kind {
+            EndpointMessage::RowDescription
+            | EndpointMessage::DataRow
+            | EndpointMessage::CommandComplete => {
+                connection.take_answer_part(frame, body, health_check)?;
+            }
+            EndpointMessage::Authentication => {
+                connection.take_body(frame, body);
+                postgres::check_authentication(body)?;
+            }
+            EndpointMessage::ParameterStatus => {
+                connection.take_body(frame, body);
+                take_parameter(connection, body, context);
+            }
+            EndpointMessage::Error => {
+                connection.take_body(frame, body);
+                take_error(connection, body, context)?;
+            }
+            EndpointMessage::BackendKeyData
+            | EndpointMessage::Notice
+            | EndpointMessage::ReadyForQuery => connection.connection.input.skip(frame.length),
+        }
+        Ok(())
+    }
+
+    /// The endpoint accepts a query: that of the exchange for which the connection was opened, or another one.
+    fn on_ready_for_query(
+        &mut self,
+        key: EndpointConnectionKey,
+        context: &mut ExchangeContext<'_>,
+    ) -> Result<QueryReadiness, AnswerError> {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return Ok(QueryReadiness::NotReady);
+        };
+        if !connection.is_connecting() {
+            return if connection.open_exchange().is_some() {
+                Err(AnswerError::Missing)
+            } else {
+                Ok(QueryReadiness::Ready)
+            };
+        }
+        connection.finish_connecting();
+        // The guards of the policy may have changed since it chose the endpoint.
+        if let Some(exchange) = connection.open_exchange()
+            && let Job::Attempt(id) = exchange.job
+            && !context.policy.may_write_attempt(id)
+        {
+            exchange.outcome = Some(AttemptOutcome::NotSent);
+            debug!(context.io.log, "attempt no longer allowed"; "endpoint" => &connection.endpoint);
+            return Ok(QueryReadiness::Ready);
+        }
+        let deadline = connection
+            .exchange()
+            .map_or(context.io.now, |exchange| exchange.deadline);
+        set_deadline(key, deadline, context.io);
+        self.write(key, context.io, context.clients);
+        Ok(QueryReadiness::NotReady)
+    }
+}
+
+/// Records a load report. One that cannot be parsed does not invalidate the response.
+fn take_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
+    let Ok(parameter) = postgres::parameter(body) else {
+        return;
+    };
+    if parameter.name != LOAD_PARAMETER {
+        return;
+    }
+    let Some(report) = load_report::parse(parameter.value) else {
+        log_lines::invalid_load_report(&context.log, &connection.endpoint);
+        return;
+    };
+    if let Some(exchange) = connection.exchange_mut() {
+        exchange.load = Some(report);
+    }
+}
+
+/// Records an error response. While connecting, it means that the endpoint has refused the connection.
+fn take_error(
+    connection: &mut EndpointConnection,
+    body: &[u8],
+    context: &IoContext,
+) -> Result<(), AnswerError> {
+    let error = postgres::error(body)?;
+    if !is_known_sqlstate(&error.code) {
+        log_lines::unknown_endpoint_error(&context.log, &connection.endpoint, &error);
+    }
+    let outcome = match outcome_of_sqlstate(&error.code) {
+        AttemptOutcome::Overloaded => AttemptOutcome::Overloaded,
+        _ if connection.is_connecting() => AttemptOutcome::Refused,
+        outcome => outcome,
+    };
+    if let Some(exchange) = connection.open_exchange() {
+        exchange.outcome = Some(outcome);
+    }
+    Ok(())
+}
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -1,7 +1,7 @@
 //! Votes on the build under evaluation: calls to the platform, one at a time, over a connection of their own.
 //!
-//! Whatever becomes of a vote, the policy is notified exactly once. A vote whose bytes were all written may count even
-//! if no response comes.
+//! The policy is notified exactly once of the result of each vote. A vote that was written completely may count even
+//! without a response.
 
 mod wire;
 
@@ -9,34 +9,37 @@
 use std::time::Duration;
 
 use calloop::Readiness;
-use slog::info;
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{Ballot, VoteResult};
 
 use crate::buffers::Fill;
-use crate::connection::{Component, Connection, IoContext, Owner};
+use crate::connection::Connection;
+use crate::context::{Component, EventContext, IoContext, Owner};
 use crate::http;
+use crate::log_lines;
 
 pub use wire::{VoteResponse, parse_response};
 
-const OWNER: Owner = Owner::new(Component::Votes, 0);
-/// A connection is used again only well inside the time after which the platform may close it.
+/// The owner of the connection and its deadline.
+const OWNER: Owner = Owner::only(Component::Votes);
+/// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Bytes read before they are handled.
 const READ_AHEAD: usize = 64 * 1024;
 
 /// A vote that waits for its response.
 struct PendingVote {
     connection: Connection,
     response: http::Response,
-    /// The platform has moved meanwhile: the connection leads to an earlier address.
+    /// The address of the platform has changed since the vote was sent.
     address_changed: bool,
 }
 
-/// How the wait for a response has ended.
+/// How a call has ended.
 enum CallEnd {
     /// With a response.
     Responded {
-        /// The connection takes another call.
+        /// The connection can be used for another call.
         reusable: bool,
     },
     /// Without one.
@@ -44,7 +47,7 @@
 }
 
 impl PendingVote {
-    /// Writes and reads what the connection takes; none while the response is still due.
+    /// Writes and reads as much as possible. Returns `None` while the response is incomplete.
     fn progress(&mut self) -> Option<CallEnd> {
         let is_open = exchange(&mut self.connection);
         let decoded = self.response.read(&mut self.connection.input);
@@ -58,7 +61,7 @@
         (decoded.is_err() || !is_open).then_some(CallEnd::Broken)
     }
 
-    /// What is known of a vote without a response.
+    /// The result of a vote without a response.
     fn result_without_response(&self) -> VoteResult {
         let was_written = self.connection.output.is_empty();
         if was_written {
@@ -72,15 +75,15 @@
 enum State {
     /// No connection.
     Disconnected,
-    /// The vote could not be sent; the policy has still to be notified.
+    /// The vote could not be sent; the policy has to be notified.
     NotSent,
-    /// The connection stands idle.
+    /// The connection is idle.
     Idle(Connection),
     /// A vote waits for its response.
     Waiting(Box<PendingVote>),
 }
 
-/// The caller of votes.
+/// Sends votes and tracks the current one.
 pub struct Votes {
     address: SocketAddr,
     response_timeout: Duration,
@@ -88,7 +91,7 @@
 }
 
 impl Votes {
-    /// Sends votes to `address` and waits so long for each response.
+    /// Sends votes to `address` and waits for each response for up to `response_timeout`.
     pub fn new(address: SocketAddr, response_timeout: Duration) -> Votes {
         Votes {
             address,
@@ -102,7 +105,7 @@
         matches!(self.state, State::NotSent)
     }
 
-    /// The next vote goes to this address; one that waits for its response is settled where it went.
+    /// The next vote goes to this address; the response to the current one still comes from where it was sent.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) {
         let is_new = address != self.address;
         self.address = address;
@@ -122,14 +125,14 @@
     pub fn cast_vote(&mut self, ballot: Ballot, context: &mut IoContext) {
         let form = wire::form(ballot);
         let mut connection = match std::mem::replace(&mut self.state, State::Disconnected) {
-            // Whatever has come unasked would be taken for this vote's response.
+            // Unexpected input would be taken for the response to this vote.
             State::Idle(connection) if connection.is_quiet() => connection,
             _ => {
                 context.deadlines.clear(OWNER);
                 match Connection::open(context, self.address, OWNER) {
                     Ok(connection) => connection,
                     Err(error) => {
-                        info!(context.log, "cannot reach the platform"; "error" => %error);
+                        log_lines::platform_connection_failed(&context.log, &error);
                         self.state = State::NotSent;
                         return;
                     }
@@ -137,7 +140,7 @@
             }
         };
         http::put_form(&mut connection.output, &self.address.to_string(), &form);
-        // A failure shows at the next read.
+        // The next read reports a failure.
         let _ = connection.flush();
         self.state = State::Waiting(Box::new(PendingVote {
             connection,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The connection has become ready.
+    /// The connection became ready.
     pub fn on_ready(&mut self, readiness: Readiness) {
         match &mut self.state {
             State::Idle(connection) => connection.on_ready(readiness),
@@ -165,75 +168,82 @@
         }
     }
 
-    /// Reads what has come and notifies the policy of the vote's result.
-    pub fn serve(&mut self, context: &mut IoContext, policy: &mut Balancer) {
+    /// Writes and reads, and notifies the policy of the result of the vote.
+    pub fn serve(&mut self, context: &mut EventContext<'_>) {
         match &mut self.state {
             State::Disconnected | State::NotSent => {}
             State::Idle(connection) => {
                 let is_open = exchange(connection);
                 if !is_open || !connection.input.is_empty() {
-                    self.disconnect(context);
+                    self.disconnect(context.io);
                 }
             }
             State::Waiting(pending) => {
                 if let Some(end) = pending.progress() {
-                    self.finish_call(&end, context, policy);
+                    self.finish_call(&end, context);
                 }
             }
         }
     }
 
-    fn finish_call(&mut self, end: &CallEnd, context: &mut IoContext, policy: &mut Balancer) {
+    fn finish_call(&mut self, end: &CallEnd, context: &mut EventContext<'_>) {
         let State::Waiting(pending) = std::mem::replace(&mut self.state, State::Disconnected)
         else {
             return;
         };
-        let mut keep_connection = false;
-        match end {
-            CallEnd::Broken => notify(pending.result_without_response(), context, policy),
+        let keep_connection = match end {
+            CallEnd::Broken => {
+                notify(pending.result_without_response(), context);
+                false
+            }
             CallEnd::Responded { reusable } => {
-                let status = pending.response.status;
-                if let Some(response) = parse_response(status, &pending.response.body) {
-                    keep_connection = *reusable;
-                    notify(response.result, context, policy);
-                    if let Some(rollout_status) = response.rollout_status {
-                        rollout_status.apply(policy);
-                    }
-                } else {
-                    // Whatever comes next over the connection could be the rest of that.
-                    info!(context.log, "cannot read the platform's response to a vote"; "status" => status);
-                    notify(VoteResult::Unknown, context, policy);
-                }
+                apply_response(&pending.response, context) && *reusable
             }
-        }
+        };
         if keep_connection {
-            context.deadlines.set(OWNER, context.now + IDLE_TIMEOUT);
+            let close_at = context.io.now + IDLE_TIMEOUT;
+            context.io.deadlines.set(OWNER, close_at);
             self.state = State::Idle(pending.connection);
         } else {
-            context.deadlines.clear(OWNER);
+            context.io.deadlines.clear(OWNER);
         }
     }
 
-    /// No response in time, or no vote for a while.
-    pub fn on_deadline(&mut self, context: &mut IoContext, policy: &mut Balancer) {
+    /// The time limit for a response or for an idle connection has expired.
+    pub fn on_deadline(&mut self, context: &mut EventContext<'_>) {
         match &self.state {
-            State::Waiting(_) => self.finish_call(&CallEnd::Broken, context, policy),
-            State::Idle(_) | State::Disconnected => self.disconnect(context),
+            State::Waiting(_) => self.finish_call(&CallEnd::Broken, context),
+            State::Idle(_) | State::Disconnected => self.disconnect(context.io),
             State::NotSent => {}
         }
     }
 }
 
-/// Writes and reads what the connection takes; whether it is still open.
+/// Notifies the policy of the response to a vote. Returns whether the response was valid; after an invalid one, the
+/// next input of the connection could be the rest of it.
+fn apply_response(response: &http::Response, context: &mut EventContext<'_>) -> bool {
+    let Some(parsed) = parse_response(response.status, &response.body) else {
+        log_lines::invalid_vote_response(&context.io.log, response.status);
+        notify(VoteResult::Unknown, context);
+        return false;
+    };
+    notify(parsed.result, context);
+    if let Some(rollout_status) = parsed.rollout_status {
+        rollout_status.apply(context.policy);
+    }
+    true
+}
+
+/// Writes and reads as much as possible. Returns whether the connection is still open.
 fn exchange(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
     let read = connection.read(READ_AHEAD);
     flushed.is_ok() && matches!(read, Ok(fill) if fill != Fill::Ended)
 }
 
-fn notify(result: VoteResult, context: &IoContext, policy: &mut Balancer) {
+fn notify(result: VoteResult, context: &mut EventContext<'_>) {
     if !matches!(result, VoteResult::Accepted | VoteResult::Superseded) {
-        info!(context.log, "vote not counted"; "result" => ?result);
+        log_lines::vote_not_counted(&context.io.log, result);
     }
-    policy.on_vote_result(result);
+    context.policy.on_vote_result(result);
 }
--- a/crates/proxy/src/votes/wire.rs
+++ b/crates/proxy/src/votes/wire.rs
@@ -1,4 +1,4 @@
-//! The platform's form of a vote and of the response to it. No I/O.
+//! The wire format of votes and of the responses to them. No I/O.
 
 use tidescale_policy::types::{Ballot, Vote, VoteResult};
 
@@ -7,9 +7,9 @@
 /// A response to a vote.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoteResponse {
-    /// What became of the vote.
+    /// The result of the vote.
     pub result: VoteResult,
-    /// The rollout's status after it, where the vote was accepted.
+    /// The rollout status after an accepted vote.
     pub rollout_status: Option<StatusMessage>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A vote as the form that the platform takes.
+/// Encodes a vote as a form.
 pub(super) fn form(ballot: Ballot) -> String {
     let Ballot { build, stage, vote } = ballot;
     let opinion = match vote {
@@ -39,7 +39,7 @@
         .finish()
 }
 
-/// Reads a response's status code and XML body; none where they make no sense.
+/// Parses the status code and the XML body of a response; `None` if they are invalid.
 pub fn parse_response(status: u16, body: &[u8]) -> Option<VoteResponse> {
     let text = std::str::from_utf8(body).ok()?;
     let document = roxmltree::Document::parse(text).ok()?;
