--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -1,8 +1,8 @@
-//! Buffers of one size, reused from a bounded pool, and chains of them that hold messages of any length. No I/O but
+//! Buffers of one size, reused from a bounded pool, and chains of them that hold messages of any length. The only I/O is
 //! through the `Read` or `Write` that is passed in.
 //!
-//! Reading stops where a pool is empty. Writing never does: what has been read may still be answered, or no buffer
-//! would ever come back. A pool therefore counts buffers beyond its capacity, but keeps none of them.
+//! Reading stops when a pool is empty. Writing never does: requests that were read must be answered, or their buffers
+//! would never be free again. A pool therefore counts buffers beyond its capacity, but does not keep them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,22 +13,22 @@
 /// Bytes in a buffer.
 pub const SIZE: usize = 16 * 1024;
 
-/// Buffers in one system call that writes.
+/// Most buffers written by one system call.
 const MAX_WRITE_SLICES: usize = 16;
 
 struct PoolState {
-    /// Allocated before, and not in use now.
+    /// Allocated buffers that are not in use.
     free: Vec<Box<[u8]>>,
     in_use: usize,
     capacity: usize,
 }
 
-/// Where buffers come from and go back to.
+/// A bounded pool of buffers.
 #[derive(Clone)]
 pub struct Pool(Rc<RefCell<PoolState>>);
 
 impl Pool {
-    /// A pool of so many buffers, each allocated when it is needed first.
+    /// A pool of up to `capacity` buffers, each allocated when it is first needed.
     pub fn new(capacity: usize) -> Pool {
         Pool(Rc::new(RefCell::new(PoolState {
             free: Vec::new(),
@@ -37,13 +37,13 @@
         })))
     }
 
-    /// All buffers are in use: reading must stop.
+    /// All buffers are in use, so that reading has to stop.
     pub fn is_empty(&self) -> bool {
         let state = self.0.borrow();
         state.in_use >= state.capacity
     }
 
-    /// More than half of the buffers are left.
+    /// More than half of the buffers are free.
     pub fn is_ample(&self) -> bool {
         let state = self.0.borrow();
         state.in_use < state.capacity / 2
@@ -65,7 +65,7 @@
     }
 }
 
-/// One buffer, of which `start..end` is filled. It goes back to its pool when it is dropped.
+/// One buffer, of which `start..end` is filled. Dropping it returns it to its pool.
 struct Buffer {
     bytes: Box<[u8]>,
     start: usize,
@@ -78,7 +78,7 @@
         &self.bytes[self.start..self.end]
     }
 
-    fn room(&mut self) -> &mut [u8] {
+    fn unfilled(&mut self) -> &mut [u8] {
         &mut self.bytes[self.end..]
     }
 }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Bytes in order, over as many buffers as they need.
+/// A sequence of bytes in as many buffers as it needs.
 pub struct Chain {
     buffers: VecDeque<Buffer>,
     len: usize,
@@ -104,18 +104,18 @@
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
-    /// Nothing more for now.
+    /// No more bytes are available now.
     Drained,
-    /// As much as was asked for; there may be more.
+    /// As many bytes as requested; there may be more.
     Enough,
-    /// No buffer was left.
+    /// No buffer was free.
     Starved,
-    /// The far side has ended its sending.
+    /// The peer has finished sending.
     Ended,
 }
 
 impl Chain {
-    /// An empty chain that takes its buffers from this pool.
+    /// An empty chain with buffers from this pool.
     pub fn new(pool: &Pool) -> Chain {
         Chain {
             buffers: VecDeque::new(),
@@ -138,7 +138,7 @@
         self.buffers.back().is_none_or(|last| last.end == SIZE)
     }
 
-    /// Adds bytes at the end, also where the pool is empty.
+    /// Appends bytes, even if the pool is empty.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             if self.is_last_buffer_full() {
@@ -148,15 +148,15 @@
                 return;
             };
             let count = bytes.len().min(SIZE - last.end);
-            let (now, later) = bytes.split_at(count);
-            last.room()[..count].copy_from_slice(now);
+            let (fitting, rest) = bytes.split_at(count);
+            last.unfilled()[..count].copy_from_slice(fitting);
             last.end += count;
             self.len += count;
-            bytes = later;
+            bytes = rest;
         }
     }
 
-    /// The filled parts of a range, in order; what lies beyond the end is left out.
+    /// The parts of a range in order; a range beyond the end is cut off.
     pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let mut offset = 0;
         self.buffers.iter().filter_map(move |buffer| {
@@ -169,13 +169,13 @@
         })
     }
 
-    /// Copies a range to the end of `to`.
+    /// Appends a range to `to`.
     pub fn copy(&self, range: Range<usize>, to: &mut Vec<u8>) {
         self.slices(range)
             .for_each(|slice| to.extend_from_slice(slice));
     }
 
-    /// Drops the first `count` bytes, at most as many as there are.
+    /// Removes the first `count` bytes; there have to be as many.
     pub fn skip(&mut self, mut count: usize) {
         self.len -= count;
         while let Some(first) = self.buffers.front_mut() {
@@ -189,16 +189,16 @@
         }
     }
 
-    /// Moves the first `count` bytes to the end of another chain.
+    /// Moves the first `count` bytes to another chain, which appends them.
     pub fn pass(&mut self, count: usize, to: &mut Chain) {
         self.slices(0..count).for_each(|slice| to.push(slice));
         self.skip(count);
     }
 
-    /// Reads until `wanted` bytes are held.
+    /// Reads until the chain holds `wanted` bytes.
     ///
     /// # Errors
-    /// Those of `from`, other than an interruption or that nothing is there for now.
+    /// Those of `from` except `Interrupted` and `WouldBlock`.
     pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<Fill> {
         while self.len < wanted {
             if self.is_last_buffer_full() {
@@ -210,7 +210,7 @@
             let Some(last) = self.buffers.back_mut() else {
                 return Ok(Fill::Starved);
             };
-            match from.read(last.room()) {
+            match from.read(last.unfilled()) {
                 Ok(0) => return Ok(Fill::Ended),
                 Ok(count) => {
                     last.end += count;
@@ -231,10 +231,10 @@
         Ok(Fill::Enough)
     }
 
-    /// Writes as much as is taken, and drops it.
+    /// Writes as many bytes as `to` accepts, and removes them.
     ///
     /// # Errors
-    /// Those of `to`, other than an interruption or that it takes nothing for now.
+    /// Those of `to` except `Interrupted` and `WouldBlock`.
     pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
         while !self.is_empty() {
             let slices: Vec<IoSlice> = self
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, and the commands other than serving.
+//! The command line: its arguments, and the commands other than `run`.
 
 mod snapshot_command;
 
@@ -14,40 +14,40 @@
 
 pub use snapshot_command::{SnapshotCommand, snapshot};
 
-/// A proxy tier that watches over software updates.
+/// A proxy that evaluates rollouts and rolls back bad builds.
 #[derive(Parser)]
 #[command(name = "tidescale", version, max_term_width = 100)]
 pub struct Cli {
-    /// What to do; without a command the program serves.
+    /// The command; `run` by default.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What the program can do.
+/// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve; the same as no command at all.
+    /// Serve; this is the default command.
     Run(Run),
-    /// Look at, check or clear what a proxy instance has learned and stored.
-    // The alias is the command's former name, which scripts may still use.
+    /// Show, check or clear the snapshots of a proxy instance.
+    // The alias is the former name of the command, which scripts may still use.
     #[command(subcommand, alias = "memory")]
     Snapshot(SnapshotCommand),
-    /// The rollback verdicts in an instance's log as a table; exit code 1 where there are none.
+    /// Print the rollback verdicts in the log of an instance as a table; the exit code is 1 if there are none.
     Explain {
-        /// The log; standard input where none is named.
+        /// The log file; standard input by default.
         log: Option<PathBuf>,
     },
 }
 
-/// How to serve.
+/// The arguments of `run`.
 #[derive(Args, Default)]
 pub struct Run {
-    /// The operators' file; without one nothing in it is on.
+    /// The operators' file; without one, its features are disabled.
     #[arg(long, value_name = "FILE")]
     pub operators: Option<PathBuf>,
 }
 
-/// Why a command is not carried out.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
     /// A file cannot be read.
@@ -55,24 +55,24 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// Standard input cannot be read.
     #[error("standard input: {0}")]
     ReadStandardInput(#[source] io::Error),
-    /// There is no whole snapshot to show.
+    /// There is no complete snapshot to show.
     #[error("{}: no whole snapshot", .0.display())]
     NoSnapshot(PathBuf),
-    /// The path to clear is no directory.
+    /// The path to clear is not a directory.
     #[error("{}: not a directory", .0.display())]
     NotADirectory(PathBuf),
-    /// The directory that is to be cleared cannot be locked.
+    /// The directory to clear cannot be locked.
     #[error("{}: {source}", path.display())]
     Lock {
         /// The directory.
         path: PathBuf,
-        /// Why not.
+        /// The reason.
         source: LockError,
     },
     /// A file cannot be removed.
@@ -80,16 +80,16 @@
     Clear {
         /// The directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
 }
 
-/// Prints the rollback verdicts of a log, or of standard input if none is named. The exit code is 1 if there are none.
+/// Prints the rollback verdicts of a log, by default of standard input. The exit code is 1 if there are none.
 ///
 /// # Errors
 ///
-/// If the log cannot be read.
+/// The log cannot be read.
 pub fn explain(log: Option<&Path>) -> Result<ExitCode, CliError> {
     let text = match log {
         Some(path) => std::fs::read(path).map_err(|source| CliError::Read {
--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -1,4 +1,4 @@
-//! `tidescale snapshot`: shows, checks and clears what a proxy instance has stored.
+//! `tidescale snapshot`: shows, checks and clears the snapshots of a proxy instance.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -19,34 +19,34 @@
 
 use super::CliError;
 
-/// What can be done with stored snapshots.
+/// The commands for snapshots.
 #[derive(Subcommand)]
 pub enum SnapshotCommand {
-    /// Each record with its age and what it would count for now.
+    /// Print each record with its age and its current weight.
     Show {
         /// A directory of snapshots, or one file.
         path: PathBuf,
-        /// One JSON document in place of a table.
+        /// Print one JSON document in place of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Exit code 0 where a snapshot is whole and no file beside it is bad, 1 otherwise.
+    /// Check the files; the exit code is 0 if there is a complete snapshot and no damaged file, else 1.
     Check {
         /// A directory of snapshots, or one file.
         path: PathBuf,
     },
-    /// Remove all snapshots; a proxy instance that has locked the directory has to stop first.
+    /// Remove all snapshots; an instance that uses the directory has to be stopped first.
     Clear {
         /// A directory of snapshots.
         path: PathBuf,
     },
 }
 
-/// Carries the command out. The exit code is 1 if a file is not whole.
+/// Runs a command. The exit code is 1 if a file is damaged.
 ///
 /// # Errors
 ///
-/// If there is nothing to show, or a file or directory cannot be used.
+/// There is nothing to show, or a file or directory cannot be used.
 pub fn snapshot(command: &SnapshotCommand) -> Result<ExitCode, CliError> {
     match command {
         SnapshotCommand::Show { path, json: true } => show(path, print_json),
@@ -98,15 +98,15 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn exit_code(all_whole: bool) -> ExitCode {
-    if all_whole {
+fn exit_code(is_success: bool) -> ExitCode {
+    if is_success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Reads the newest whole snapshot of a directory, or one file.
+/// Reads the newest complete snapshot of a directory, or one file.
 fn read_newest(path: &Path) -> Result<Opened, CliError> {
     if path.is_dir() {
         return Ok(store::newest(&mut Directory::without_lock(path)));
@@ -127,7 +127,7 @@
     Ok(opened)
 }
 
-/// Reads as much of the file as decoding needs.
+/// Reads the file up to the length that decoding can use.
 fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?
@@ -141,7 +141,7 @@
     Timestamp::ZERO + since_epoch.unwrap_or_default()
 }
 
-/// The field names are part of the interface: programs read them.
+/// Prints JSON. The field names are part of the interface: programs read them.
 fn print_json(snapshot: &Snapshot, now: Timestamp) {
     let listed = snapshot.listed_processes();
     let records: Vec<_> = snapshot
@@ -181,7 +181,7 @@
     );
 }
 
-/// What the record would count for now if the endpoint list were still that of the same snapshot.
+/// The current weight of a record, given the endpoint list in the same snapshot.
 fn weight(record: &Record, listed: &BTreeMap<&str, &Process>, now: Timestamp) -> f64 {
     let process_match = record.observed_process().map(|process| {
         let listed = listed.get(process.endpoint.as_str()).copied();
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,18 +1,18 @@
-//! The proxy's clock: Unix time at the start, advanced by the monotonic clock. It never jumps when the system's time is
-//! set, and gives whole microseconds.
+//! The clock of the proxy: Unix time at the start, advanced by the monotonic clock in whole microseconds. It does not
+//! jump when the time of the system is set.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use tidescale_policy::types::Timestamp;
 
-/// Tells the time in Unix microseconds, without jumps.
+/// Unix time in microseconds, without jumps.
 pub struct Clock {
     started: Instant,
     started_at: Timestamp,
 }
 
 impl Clock {
-    /// A clock that reads the system's time once, now.
+    /// Reads the time of the system once, now.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.started_at + self.started.elapsed()
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that the platform writes: decoded at the start and again at each SIGHUP.
+//! The configuration file that the platform writes. It is decoded at the start and again at each SIGHUP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 use crate::endpoint_list::EndpointList;
 use crate::rollout_status::StatusMessage;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is not JSON, or a field is missing or of another form.
+    /// It is not JSON, or a field is missing or invalid.
     #[error(transparent)]
     Form(#[from] serde_json::Error),
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("seed: not hexadecimal: {seed}")]
     Seed {
-        /// What stands there.
+        /// Its value.
         seed: String,
     },
-    /// A setting is missing or out of its range.
+    /// A setting is missing or out of range.
     #[error("settings: {0}")]
     Settings(String),
-    /// The protocol has no answer that goes on after its first row.
+    /// A route with streaming responses, which the protocol does not support.
     #[error("settings: {field}: answers do not stream over this protocol")]
     StreamingRoute {
-        /// The setting that asks for it.
+        /// The setting of the route.
         field: String,
     },
 }
@@ -44,31 +44,31 @@
     }
 }
 
-/// All that the configuration says, decoded and checked.
+/// The decoded and validated configuration.
 pub struct Config {
-    /// The address that clients connect to.
+    /// The address to listen on for clients.
     pub listen: SocketAddr,
-    /// Where the endpoint list comes from.
+    /// The address of discovery, for the endpoint list.
     pub discovery: SocketAddr,
-    /// Where the rollout status comes from and votes go to.
+    /// The address of the platform, for the rollout status and votes.
     pub platform: SocketAddr,
-    /// What all random choices derive from.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Memory that the process may take, in MiB.
+    /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// Descriptors that the process may hold.
+    /// Descriptors that the process may open.
     pub descriptor_limit: usize,
-    /// The rollout's status, until the platform announces a newer one.
+    /// The rollout status, until the platform announces a newer one.
     pub rollout_status: Option<StatusMessage>,
     /// The endpoint list, until discovery sends a newer one.
     pub known_endpoints: EndpointList,
-    /// What the policy reads.
+    /// The settings of the policy.
     pub settings: Settings,
-    /// What connections are kept by.
+    /// The settings of connections.
     pub connections: ConnectionSettings,
 }
 
-/// The file's own form; its keys are the platform's.
+/// The format of the file; its keys are defined by the platform.
 #[derive(Deserialize)]
 struct ConfigFile {
     listen: SocketAddr,
@@ -76,7 +76,8 @@
     seed: String,
     limits: Limits,
     pipeline: Pipeline,
-    known: EndpointList,
+    #[serde(rename = "known")]
+    known_endpoints: EndpointList,
     settings: Value,
 }
 
@@ -89,23 +90,24 @@
 #[derive(Deserialize)]
 struct Pipeline {
     address: SocketAddr,
-    news: Option<StatusMessage>,
+    #[serde(rename = "news")]
+    rollout_status: Option<StatusMessage>,
 }
 
 /// Reads a configuration file.
 ///
 /// # Errors
 ///
-/// Where the file cannot be read, and those of [`read`].
+/// The file cannot be read, or those of [`read`].
 pub fn read_file(path: &Path) -> Result<Config, ConfigError> {
     read(&std::fs::read_to_string(path)?)
 }
 
-/// Reads a configuration.
+/// Decodes a configuration.
 ///
 /// # Errors
 ///
-/// Where it is not of the expected form; names the field.
+/// It is invalid; the error names the field.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
     let file: ConfigFile = serde_json::from_str(text)?;
     let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
@@ -123,8 +125,8 @@
         seed,
         memory_mb: file.limits.memory_mb,
         descriptor_limit: file.limits.sockets,
-        rollout_status: file.pipeline.news,
-        known_endpoints: file.known,
+        rollout_status: file.pipeline.rollout_status,
+        known_endpoints: file.known_endpoints,
         settings,
         connections,
     })
@@ -140,7 +142,8 @@
     Ok(())
 }
 
-/// Nested settings as pairs of path and text: fields as `a.b`, lists as `a.count`, `a.0`, … and, joined by commas, `a`.
+/// Flattens nested settings to pairs of path and text: fields as `a.b`; lists as `a.count`, `a.0`, … and, joined by
+/// commas, `a`.
 fn flatten_settings(settings: &Value) -> RawSettings {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
@@ -175,7 +178,7 @@
     }
 }
 
-/// A string without its quotes, anything else as JSON.
+/// A string without quotes, any other value as JSON.
 fn plain_text(value: &Value) -> String {
     value
         .as_str()
--- a/crates/proxy/src/explain.rs
+++ b/crates/proxy/src/explain.rs
@@ -1,38 +1,62 @@
-//! Rollback verdicts out of a proxy's log, as a table that a release engineer can follow.
+//! The rollback verdicts in the log of a proxy, as a table for release engineers.
 //!
-//! The line's text, its keys and its names of tests are those of every release so far: older logs stay readable.
+//! Reads the lines of this release and those of earlier releases, which have other keys.
 
 use std::collections::BTreeMap;
 
 use comfy_table::{ContentArrangement, Table, presets};
-use tidescale_policy::types::EvidenceTest;
 
-/// What a verdict's line says before its values.
-const VERDICT_MARK: &str = "verdict: to go back, ";
-/// Stands for what a line does not say, as one that was cut off.
+/// Stands for a value that a line does not have, for example because the line was cut off.
 const UNKNOWN: &str = "?";
+/// Keeps the share of failures finite when there are no outcomes.
+const MIN_OUTCOMES: f64 = 1e-9;
 const HEADER: [&str; 8] = [
-    "when",
+    "time",
     "build",
     "stage",
     "test",
-    "new build",
-    "compared with",
-    "score of bound",
-    "what was compared",
+    "candidate failures",
+    "baseline failures",
+    "score / bound",
+    "explanation",
 ];
 
-/// Name of a test in the log.
-pub fn test_name(test: EvidenceTest) -> &'static str {
-    match test {
-        EvidenceTest::Failures => "failures",
-        EvidenceTest::Slowness => "slowness",
-        EvidenceTest::Errors => "errors",
-        EvidenceTest::FleetSlowdown => "whole-fleet",
-    }
+/// The message and the keys of the lines that one release logs for verdicts. All releases use the same keys for build,
+/// stage, test, score and bound.
+struct LineFormat {
+    /// The message, up to the first value.
+    message: &'static str,
+    candidate_failures: &'static str,
+    candidate_outcomes: &'static str,
+    baseline_failures: &'static str,
+    baseline_outcomes: &'static str,
+    restored_outcomes: &'static str,
+    ejected_endpoints: &'static str,
 }
 
-/// A table of all verdicts in the log; none where there are none.
+/// The lines of [`rollback_verdict`](crate::log_lines::rollback_verdict).
+const CURRENT_FORMAT: LineFormat = LineFormat {
+    message: "rollback verdict, ",
+    candidate_failures: "candidate_failures",
+    candidate_outcomes: "candidate_outcomes",
+    baseline_failures: "baseline_failures",
+    baseline_outcomes: "baseline_outcomes",
+    restored_outcomes: "restored_outcomes",
+    ejected_endpoints: "ejected_endpoints",
+};
+
+/// The lines of earlier releases.
+const EARLIER_FORMAT: LineFormat = LineFormat {
+    message: "verdict: to go back, ",
+    candidate_failures: "new_hits",
+    candidate_outcomes: "new_outcomes",
+    baseline_failures: "old_hits",
+    baseline_outcomes: "old_outcomes",
+    restored_outcomes: "recalled",
+    ejected_endpoints: "aside",
+};
+
+/// A table of all verdicts in the log; `None` if there are none.
 pub fn table(log: &str) -> Option<String> {
     let mut table = Table::new();
     table
@@ -46,18 +70,26 @@
     (!verdicts.is_empty()).then(|| table.to_string())
 }
 
-/// A verdict's line of the log.
+/// A line of the log with a verdict.
 struct VerdictLine<'a> {
+    format: &'static LineFormat,
     logged_at: &'a str,
     values: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> VerdictLine<'a> {
-    /// None of any other line.
+    /// Parses a line; `None` if it has no verdict.
     fn parse(line: &'a str) -> Option<VerdictLine<'a>> {
-        let (_, pairs) = line.split_once(VERDICT_MARK)?;
+        [&CURRENT_FORMAT, &EARLIER_FORMAT]
+            .into_iter()
+            .find_map(|format| VerdictLine::parse_as(line, format))
+    }
+
+    fn parse_as(line: &'a str, format: &'static LineFormat) -> Option<VerdictLine<'a>> {
+        let (_, pairs) = line.split_once(format.message)?;
         let logged_at = line.split(" INFO").next().unwrap_or_default();
         Some(VerdictLine {
+            format,
             logged_at: logged_at.trim(),
             values: pairs
                 .split(", ")
@@ -66,60 +98,64 @@
         })
     }
 
-    fn value(&self, name: &str) -> &'a str {
-        self.values.get(name).copied().unwrap_or(UNKNOWN)
+    fn value(&self, key: &str) -> &'a str {
+        self.values.get(key).copied().unwrap_or(UNKNOWN)
     }
 
     fn row(&self) -> [String; HEADER.len()] {
+        let format = self.format;
         [
             self.logged_at.into(),
             self.value("build").into(),
             self.value("stage").into(),
             self.value("test").into(),
-            self.failure_share("new_hits", "new_outcomes"),
-            self.failure_share("old_hits", "old_outcomes"),
-            format!("{} of {}", self.value("score"), self.value("bound")),
-            self.comparison(),
+            self.failure_share(format.candidate_failures, format.candidate_outcomes),
+            self.failure_share(format.baseline_failures, format.baseline_outcomes),
+            format!("{} / {}", self.value("score"), self.value("bound")),
+            self.explanation(),
         ]
     }
 
-    fn failure_share(&self, failures: &str, outcomes: &str) -> String {
-        let failures = self.value(failures);
-        let outcomes = self.value(outcomes);
+    fn failure_share(&self, failures_key: &str, outcomes_key: &str) -> String {
+        let failures = self.value(failures_key);
+        let outcomes = self.value(outcomes_key);
         let (Ok(failure_count), Ok(outcome_count)) =
             (failures.parse::<f64>(), outcomes.parse::<f64>())
         else {
             return UNKNOWN.into();
         };
-        let percentage = 100.0 * failure_count / outcome_count.max(1e-9);
+        let percentage = 100.0 * failure_count / outcome_count.max(MIN_OUTCOMES);
         format!("{failures} of {outcomes} ({percentage:.1}%)")
     }
 
-    fn comparison(&self) -> String {
-        let mut text = compared(self.value("test")).to_string();
-        let restored = self.value("recalled");
+    fn explanation(&self) -> String {
+        let mut text = describe_test(self.value("test")).to_string();
+        let restored = self.value(self.format.restored_outcomes);
         if restored != "0.00" && restored != UNKNOWN {
-            text += &format!("; {restored} outcomes from before a restart");
+            text += &format!("; {restored} outcomes restored from before a restart");
         }
-        let ejected = self.value("aside");
+        let ejected = self.value(self.format.ejected_endpoints);
         if ejected != "0" && ejected != UNKNOWN {
-            text += &format!("; {ejected} of its machines were set aside meanwhile");
+            text += &format!("; ejected endpoints of the candidate: {ejected}");
         }
         text
     }
 }
 
-/// What the test compares, in words.
-fn compared(test: &str) -> &'static str {
+/// What a test compares, by its name in the log.
+fn describe_test(test: &str) -> &'static str {
     match test {
         "failures" => {
-            "errors, time-outs, resets, wrong and very late answers, against the earlier build at the same time"
+            "errors, timeouts, resets, malformed and very late responses, against the baseline build at the same time"
         }
         "slowness" => {
-            "answers over twice the usual time for such a machine and load, against the earlier build"
+            "responses slower than twice the baseline latency for that hardware class and load, against the baseline build"
+        }
+        "errors" => "errors alone, also against the time before the rollout",
+        // Earlier releases call it whole-fleet.
+        "fleet_slowdown" | "whole-fleet" => {
+            "slow responses of the whole fleet, against the fleet before the rollout"
         }
-        "errors" => "errors alone, also against the time before",
-        "whole-fleet" => "slow answers of all machines, against the fleet before the trial",
-        _ => "a test that this program does not know",
+        _ => "unknown test",
     }
 }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,36 +1,40 @@
-//! HTTP/1.1 as spoken to discovery and the platform: requests out, responses in, whole or as a stream. No I/O.
+//! The HTTP/1.1 client for discovery and the platform: encodes requests and decodes responses, complete ones and
+//! streams. No I/O.
 
 use crate::buffers::Chain;
 
+/// The longest head of a response, in bytes.
 const MAX_HEAD: usize = 8 * 1024;
+/// Most headers of a response.
 const MAX_HEADERS: usize = 32;
+/// The longest line with the size of a chunk, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 256;
-/// Of what has not been taken from a body yet.
+/// Most bytes of a body that may be buffered.
 const MAX_BODY: usize = 4 * 1024 * 1024;
 const CRLF: &[u8] = b"\r\n";
 
-/// Why a response cannot be read.
+/// Why a response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// No status line or headers, or too many of them.
+    /// The status line or the headers are invalid or too long.
     #[error("not the head of a response")]
     InvalidHead,
     /// The content length is no number.
     #[error("a content length that is no number")]
     InvalidContentLength,
-    /// The body is longer than [`Response`] holds.
+    /// The body is longer than [`Response`] can buffer.
     #[error("a body too long")]
     BodyTooLong,
-    /// A chunk does not begin with its size.
+    /// The size of a chunk is missing or invalid.
     #[error("a chunk without its size")]
     InvalidChunkSize,
-    /// A chunk does not end where its size says.
+    /// A chunk is longer than its size.
     #[error("a chunk longer than its size")]
     ChunkTooLong,
-    /// The trailer is longer than a head may be.
+    /// The trailer is longer than the longest head.
     #[error("a trailer too long")]
     TrailerTooLong,
-    /// The body's lines are not UTF-8.
+    /// The lines of the body are not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
 }
@@ -50,16 +54,16 @@
     output.push(form.as_bytes());
 }
 
-/// What is expected next of a response.
+/// The part of a response that is expected next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
     #[default]
     Head,
-    /// The rest of a body whose length is known.
+    /// The rest of a body of known length.
     Body {
         remaining: usize,
     },
-    /// A body that ends with the connection.
+    /// A body that ends when the connection closes.
     BodyUntilClose,
     ChunkSize,
     Chunk {
@@ -72,51 +76,51 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The state has changed; there may be more to read in the new one.
+    /// The state has changed; there may be more input for the new state.
     Advanced,
-    /// The state stays until more bytes come.
+    /// More input is needed to leave the state.
     NeedsInput,
 }
 
-/// A response as far as it has been read.
+/// The part of a response that was decoded so far.
 #[derive(Default)]
 pub struct Response {
     state: State,
-    /// The status code; 0 until the head has been read.
+    /// The status code; 0 until the head was decoded.
     pub status: u16,
-    /// What has come of the body and has not been taken.
+    /// The part of the body that was received and not yet consumed.
     pub body: Vec<u8>,
     /// Whether the connection can be used for another request once this response is complete.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// The response has been read whole.
+    /// The response is complete.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// The head has been read.
+    /// The head was decoded.
     pub fn has_head(&self) -> bool {
         self.state != State::Head
     }
 
-    /// Of a stream: nothing has come in part.
+    /// In a stream: no chunk or line is incomplete.
     pub fn is_between_chunks(&self) -> bool {
         let mid_chunk = matches!(self.state, State::Chunk { .. } | State::ChunkEnd);
         self.body.is_empty() && !mid_chunk
     }
 
-    /// Whether the response is whole, given that its connection has ended.
+    /// Whether the response is complete, given that its connection has closed.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::Complete | State::BodyUntilClose)
     }
 
-    /// Takes what has come.
+    /// Decodes the input.
     ///
     /// # Errors
     ///
-    /// Where it is not HTTP or too long; nothing that follows can be read then.
+    /// The input is invalid or too long; the rest of the connection cannot be decoded.
     pub fn read(&mut self, input: &mut Chain) -> Result<(), HttpError> {
         while self.advance(input)? == Progress::Advanced {}
         Ok(())
@@ -155,7 +159,7 @@
         Progress::Advanced
     }
 
-    /// Takes up to `wanted` bytes of the body; returns how many are still missing.
+    /// Moves up to `wanted` bytes to the body. Returns how many are still missing.
     fn read_body(&mut self, input: &mut Chain, wanted: usize) -> Result<usize, HttpError> {
         let available = wanted.min(input.len());
         if self.body.len() + available > MAX_BODY {
@@ -236,11 +240,11 @@
         }))
     }
 
-    /// Takes the whole lines that have come of the body, without their ends.
+    /// Consumes the complete lines of the body, and passes each to `each` without its end.
     ///
     /// # Errors
     ///
-    /// Where they are not UTF-8; none of them is handed over then.
+    /// The lines are not UTF-8; none of them is passed on.
     pub fn take_lines(&mut self, mut each: impl FnMut(&str)) -> Result<(), HttpError> {
         let Some(end) = self.body.iter().rposition(|byte| *byte == b'\n') else {
             return Ok(());
@@ -255,7 +259,7 @@
     }
 }
 
-/// What follows a head.
+/// The state after a head.
 fn body_state(head: &httparse::Response, status: u16) -> Result<State, HttpError> {
     if header_value(head, "transfer-encoding").is_some_and(|value| value.ends_with("chunked")) {
         return Ok(State::ChunkSize);
@@ -275,7 +279,7 @@
     })
 }
 
-/// A header's value in lower case.
+/// The value of a header in lower case.
 fn header_value(head: &httparse::Response, name: &str) -> Option<String> {
     let header = head
         .headers
@@ -285,7 +289,7 @@
     Some(value.trim().to_ascii_lowercase())
 }
 
-/// Copies up to so many bytes from the front of the input.
+/// Copies up to `length` bytes from the front of the input.
 fn peek(input: &Chain, length: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     input.copy(0..input.len().min(length), &mut bytes);
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,13 +1,11 @@
-//! The load reports that endpoints send beside their answers. No I/O.
+//! Parses the load reports that endpoints send with their responses. No I/O.
 
 use tidescale_policy::types::LoadReport;
 
-/// More than any endpoint could hold: a larger number makes no sense.
+/// Larger counts are invalid: no endpoint can have as many requests.
 const MAX_COUNT: f64 = 1e6;
 
-/// Reads a load report: pairs of names and values, of which some are used.
-///
-/// None where one of those makes no sense: then the others are worth nothing either.
+/// Parses a load report: pairs of names and values, of which some are used. `None` if one of these is invalid.
 pub fn parse(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,6 +1,6 @@
-//! The log: lines on standard error, those of each place in the source at most a few times a second, so that a trouble
-//! which repeats itself neither fills the log nor slows the loop down. A line that standard error does not take at once
-//! is dropped and counted.
+//! The log on standard error. Each place in the source may log only a few lines a second, so that repeated errors
+//! neither fill the log nor slow down the event loop. A line that standard error does not accept immediately is dropped
+//! and counted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,17 +11,17 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
-/// Lines of one place are counted over windows of this length.
+/// Length of the windows over which the lines of a place are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Lines of one place that are written in a window.
+/// Most lines of a place written in one window.
 const MAX_LINES_PER_WINDOW: u32 = 5;
 
-/// Where in the source a line is logged.
+/// The place in the source that logs a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLine {
     /// The file.
     pub file: &'static str,
-    /// The line's number.
+    /// The line number.
     pub line: u32,
 }
 
@@ -30,16 +30,17 @@
     lines: u32,
 }
 
-/// Counts lines by place; bounded by the number of places that log.
+/// Counts lines by place; its size is bounded by the number of places that log.
 #[derive(Default)]
 pub struct RateLimiter {
     windows: BTreeMap<SourceLine, Window>,
 }
 
 impl RateLimiter {
-    /// Whether a line may be written now, and how many of its place were suppressed in the window before.
-    pub fn admit(&mut self, place: SourceLine, now: Instant) -> Option<u32> {
-        let window = self.windows.entry(place).or_insert(Window {
+    /// Whether a line may be written now. Returns the number of suppressed lines of that place in the previous window,
+    /// or `None` if this line is suppressed.
+    pub fn admit(&mut self, source: SourceLine, now: Instant) -> Option<u32> {
+        let window = self.windows.entry(source).or_insert(Window {
             started: now,
             lines: 0,
         });
@@ -54,10 +55,10 @@
     }
 }
 
-/// A drain that passes on what the rate and standard error allow.
+/// A drain that suppresses lines over the rate limit and lines that standard error does not accept.
 struct LimitedDrain<D> {
     limiter: Mutex<RateLimiter>,
-    /// Lines that standard error did not take, since one that it took.
+    /// Lines that standard error did not accept since it last accepted one.
     dropped: AtomicU32,
     drain: D,
 }
@@ -67,7 +68,7 @@
     type Err = Never;
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), Never> {
-        let place = SourceLine {
+        let source = SourceLine {
             file: record.file(),
             line: record.line(),
         };
@@ -75,34 +76,35 @@
             .limiter
             .lock()
             .ok()
-            .and_then(|mut limiter| limiter.admit(place, Instant::now()));
+            .and_then(|mut limiter| limiter.admit(source, Instant::now()));
         let Some(suppressed) = admitted else {
             return Ok(());
         };
-        if !stderr_takes_a_line() {
+        if !stderr_accepts_a_line() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        let left_out = suppressed + self.dropped.swap(0, Ordering::Relaxed);
-        // A log that can't be written must not end the service.
-        let _ = if left_out == 0 {
+        let suppressed_lines = suppressed + self.dropped.swap(0, Ordering::Relaxed);
+        // A failure to log must not end the service.
+        let _ = if suppressed_lines == 0 {
             self.drain.log(record, values)
         } else {
-            self.drain.log(record, &o!("left_out" => left_out).into())
+            self.drain
+                .log(record, &o!("suppressed_lines" => suppressed_lines).into())
         };
         Ok(())
     }
 }
 
-/// Whether a line can be written at once: a pipe that nobody reads would stall the whole proxy.
-fn stderr_takes_a_line() -> bool {
+/// Whether a line can be written without blocking: a pipe that nobody reads would stall the whole proxy.
+fn stderr_accepts_a_line() -> bool {
     let stderr = io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
-    // A pipe that takes anything takes a page, which is more than a line.
+    // A pipe that is ready accepts a page, which is more than a line.
     poll(&mut descriptors, Some(&Timespec::default())).map_or(true, |ready| ready > 0)
 }
 
-/// A logger of lines on standard error, from level info up.
+/// A logger that writes lines from level info up to standard error.
 pub fn stderr_logger() -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
     let limited = LimitedDrain {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidescale`: reads the command line and runs what it names. A failure is one line on standard error.
+//! `tidescale`: parses the command line and runs the command. A failure is one line on standard error.
 
 use std::error::Error;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use tidescale_proxy::cli::{self, Cli, Command};
 use tidescale_proxy::start;
 
-/// For arguments that cannot be understood.
+/// The exit code for invalid arguments.
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -36,11 +36,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The command line; where there is nothing to run, the exit code, after help or one line on what is wrong.
+/// The parsed command line. If there is nothing to run, prints help or one line with the error, and returns the exit
+/// code.
 fn parse_arguments() -> Result<Cli, ExitCode> {
     Cli::try_parse().map_err(|error| {
         if !error.use_stderr() {
-            // Nobody may read it.
+            // A failure to print the help is not an error.
             let _ = error.print();
             return ExitCode::SUCCESS;
         }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what an installation has beyond what the platform configures. What it does not name is off.
+//! The operators' file: features of an installation that the platform does not configure. All are disabled by default.
 
 use std::fmt;
 use std::io;
@@ -11,18 +11,18 @@
 use serde::{Deserialize, Deserializer, de};
 use tidescale_policy::types::whole_micros;
 
-/// Why an operators' file cannot be used.
+/// Why an operators' file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is not TOML, or a field is unknown, missing or of another form.
+    /// It is not TOML, or a field is unknown, missing or invalid.
     #[error("line {line}, `{text}`: {message}")]
     Form {
-        /// Number of the line, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What stands on it.
+        /// The text of the line.
         text: String,
         /// What is wrong with it.
         message: String,
@@ -36,53 +36,53 @@
         field: &'static str,
         /// Its value.
         value: String,
-        /// The least that it may be.
+        /// The smallest allowed value.
         least: String,
-        /// The most that it may be.
+        /// The largest allowed value.
         most: String,
     },
-    /// The snapshots' folder has no name.
+    /// The name of the folder for snapshots is empty.
     #[error("memory.folder: empty")]
     EmptyFolder,
 }
 
-/// The file's contents; the keys in it are fixed.
+/// The contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// Snapshots of what the instance has learned; none are kept where this is missing.
+    /// Snapshots of what the instance has learned; `None` disables them.
     #[serde(rename = "memory")]
     pub snapshot: Option<SnapshotSettings>,
 }
 
-/// How snapshots are kept.
+/// The settings of snapshots.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotSettings {
-    /// Where they are kept.
+    /// The folder for them.
     pub folder: PathBuf,
-    /// How much may be lost.
+    /// Time between two snapshots.
     #[serde(
         rename = "every",
         default = "default_write_interval",
         deserialize_with = "duration_with_unit"
     )]
     pub write_interval: Duration,
-    /// What the last one may take at SIGTERM, once all requests are answered.
+    /// Time limit for the final snapshot at SIGTERM, after all requests are answered.
     #[serde(
         rename = "stop_within",
         default = "default_final_write_timeout",
         deserialize_with = "duration_with_unit"
     )]
     pub final_write_timeout: Duration,
-    /// What gathering may take of the loop's time in a second.
+    /// Time of the event loop that collecting records may use in a second.
     #[serde(
         rename = "time_a_second",
         default = "default_loop_time_per_second",
         deserialize_with = "duration_with_unit"
     )]
     pub loop_time_per_second: Duration,
-    /// What may be written in a second.
+    /// Bytes that may be written in a second.
     #[serde(
         rename = "bytes_a_second",
         default = "default_bytes_per_second",
@@ -107,7 +107,7 @@
     ByteSize::mib(4)
 }
 
-/// A time with its unit, in whole microseconds.
+/// Parses a duration with its unit, in whole microseconds.
 fn duration_with_unit<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     let duration = humantime::parse_duration(&text).map_err(|error| {
@@ -118,7 +118,7 @@
     Ok(Duration::from_micros(whole_micros(duration)))
 }
 
-/// A size with its unit.
+/// Parses a size with its unit.
 fn size_with_unit<'de, D: Deserializer<'de>>(deserializer: D) -> Result<ByteSize, D::Error> {
     let text = String::deserialize(deserializer)?;
     let invalid = |why: &str| {
@@ -136,16 +136,16 @@
 ///
 /// # Errors
 ///
-/// Where the file cannot be read, and those of [`read`].
+/// The file cannot be read, or those of [`read`].
 pub fn read_file(path: &Path) -> Result<Operators, OperatorsError> {
     read(&std::fs::read_to_string(path)?)
 }
 
-/// Reads the text of an operators' file.
+/// Decodes the text of an operators' file.
 ///
 /// # Errors
 ///
-/// Names the line or the field, and what is wrong there.
+/// It is invalid; the error names the line or the field.
 pub fn read(text: &str) -> Result<Operators, OperatorsError> {
     let operators: Operators = toml::from_str(text).map_err(|error| form_error(text, &error))?;
     if let Some(snapshot) = &operators.snapshot {
--- a/crates/proxy/src/postgres.rs
+++ b/crates/proxy/src/postgres.rs
@@ -1,15 +1,14 @@
-//! PostgreSQL's frontend/backend protocol, version 3, as far as simple queries need it. No I/O.
+//! The part of PostgreSQL's frontend/backend protocol, version 3, that simple queries need. No I/O.
 //!
-//! | module | its job |
+//! | module | job |
 //! | --- | --- |
-//! | [`framing`] | where a message begins and ends, and of which kind it is |
-//! | [`messages`] | what the bodies of messages say |
-//! | [`statement`] | the one form of statement that clients may send |
-//! | [`encoding`] | messages that the proxy writes |
+//! | [`framing`] | finding the start, the end and the kind of each message |
+//! | [`messages`] | decoding the bodies of messages |
+//! | [`statement`] | parsing the only form of statement that clients may send |
+//! | [`encoding`] | encoding the messages that the proxy sends |
 //! | [`sqlstate`] | error codes |
 //!
-//! Decoders take bytes that any peer may have sent: they never panic, and refuse a message at its head where its kind
-//! or length shows that it cannot be used.
+//! Decoders accept any bytes without a panic. They refuse a message by its head if its kind or length is invalid.
 
 pub mod encoding;
 pub mod framing;
@@ -32,18 +31,18 @@
 };
 pub use statement::{ClientStatement, parse_statement};
 
-/// Why bytes are no message of the protocol.
+/// Why a message is invalid.
 ///
-/// Its text goes to the client that sent them, so that a change of it changes the wire.
+/// The text is sent to the client, so that changing it changes the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// The length of a startup message is out of its bounds.
+    /// The length of a startup message is out of bounds.
     #[error("a startup message of impossible length")]
     StartupLength,
-    /// A startup message asks for a version that the proxy does not speak.
+    /// A startup message requests an unknown protocol version.
     #[error("an unknown protocol version")]
     UnknownVersion,
-    /// A startup message whose list of parameters does not end where the message does.
+    /// The parameters of a startup message are not terminated at its end.
     #[error("a startup message without its end")]
     UnterminatedStartup,
     /// A startup message without a user.
@@ -52,34 +51,34 @@
     /// A message of a type that this side of a connection does not send.
     #[error("an unknown kind of message")]
     UnknownMessage,
-    /// The length of a message is out of its type's bounds.
+    /// The length of a message is out of the bounds of its type.
     #[error("a message of impossible length")]
     MessageLength,
-    /// A query that is not one text with its terminator.
+    /// The body of a query is not one terminated text.
     #[error("a query without its end")]
     UnterminatedQuery,
-    /// A field of an error response without its terminator.
+    /// A field of an error response is not terminated.
     #[error("a field without its end")]
     UnterminatedField,
     /// An error response without an SQLSTATE.
     #[error("an error without a code")]
     ErrorWithoutCode,
-    /// A parameter status that is not two texts.
+    /// A parameter status is not two terminated texts.
     #[error("a parameter without its end")]
     UnterminatedParameter,
-    /// A data row that does not hold exactly one value.
+    /// A data row without exactly one value.
     #[error("not a row of one column")]
     DataRow,
-    /// A row description that does not hold exactly one column.
+    /// A row description without exactly one column.
     #[error("not the description of one column")]
     RowDescription,
-    /// A command completion that does not count one row.
+    /// A command completion for another number of rows than one.
     #[error("not the end of one row")]
     CommandComplete,
-    /// The far side demands a password.
+    /// The peer requests a password.
     #[error("asked for a password")]
     PasswordRequested,
-    /// The far side is in a transaction.
+    /// The peer is in a transaction.
     #[error("not ready after an answer")]
     NotReady,
 }
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -1,4 +1,4 @@
-//! Messages that the proxy writes: to endpoints as their client, to clients as their server.
+//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their server.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use super::framing::PROTOCOL_VERSION;
 use crate::buffers::Chain;
 
-/// Who the proxy is to endpoints.
+/// The user and the database that the proxy names to endpoints.
 pub const STARTUP_PARAMETERS: [(&str, &str); 2] = [("user", "portal"), ("database", "crm")];
 
-/// What every client is told of its server.
+/// The settings of the server that are sent to each client.
 const SERVER_PARAMETERS: [(&str, &str); 3] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -19,9 +19,9 @@
 /// Whether an error ends the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The connection goes on.
+    /// The connection stays open.
     Error,
-    /// The connection ends.
+    /// The connection closes.
     Fatal,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes one message, its body in parts.
+/// Writes one message; its body is given in parts.
 fn put_message(out: &mut Chain, type_byte: u8, body: &[&[u8]]) {
     let length = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(&[type_byte]);
@@ -42,7 +42,7 @@
     body.iter().for_each(|part| out.push(part));
 }
 
-/// Opens a connection to an endpoint.
+/// Writes the startup message to an endpoint.
 pub fn put_startup(out: &mut Chain) {
     let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
     for (name, value) in STARTUP_PARAMETERS {
@@ -56,12 +56,12 @@
     out.push(&body);
 }
 
-/// Sends a query.
+/// Writes a query.
 pub fn put_query(out: &mut Chain, statement: &[u8]) {
     put_message(out, b'Q', &[statement, &[0]]);
 }
 
-/// Sends a client's statement, with the proxy's own wait, in whole milliseconds, in place of the client's.
+/// Writes the statement of a client with the time limit replaced by `wait`, in whole milliseconds.
 pub fn put_statement(
     out: &mut Chain,
     statement: &Chain,
@@ -79,7 +79,7 @@
     put_message(out, b'Q', &body);
 }
 
-/// Lets a client in.
+/// Writes the messages that accept a client.
 pub fn put_welcome(out: &mut Chain) {
     put_message(out, b'R', &[&[0; 4]]);
     for (name, value) in SERVER_PARAMETERS {
@@ -88,17 +88,17 @@
     put_ready(out);
 }
 
-/// Tells a client that its next query is taken.
+/// Writes ReadyForQuery: the next query is accepted.
 pub fn put_ready(out: &mut Chain) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Answers a query without a statement.
+/// Writes the response to a query without a statement.
 pub fn put_empty_query(out: &mut Chain) {
     put_message(out, b'I', &[]);
 }
 
-/// Tells a client of an error; `detail` is left out where it is empty.
+/// Writes an error response; an empty `detail` is omitted.
 pub fn put_error(out: &mut Chain, severity: Severity, code: &str, message: &str, detail: &str) {
     let fields = [
         (b'S', severity.as_str()),
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -1,47 +1,46 @@
-//! Where a message begins and ends, and of which kind it is.
+//! Finds the start, the end and the kind of each message.
 //!
-//! A kind bounds the length of its messages, so that nothing is waited for that could not be used: a message that is
-//! too long is refused as soon as its first five bytes have come.
+//! Each kind has a maximum length, so that a message that is too long is refused after its first five bytes.
 
 use super::ProtocolError;
 use crate::buffers::Chain;
 
 /// Protocol 3.0 in a startup message.
 pub const PROTOCOL_VERSION: u32 = 196_608;
-/// The codes that stand in place of the version in requests other than a startup.
+/// The codes in place of the version, in requests other than a startup.
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
 
-/// Bytes before the body of a startup message: its length and the protocol version.
+/// Bytes before the body of a startup message: the length and the protocol version.
 pub const STARTUP_HEAD: usize = 8;
-/// Bytes before the body of any other message: its type and its length.
+/// Bytes before the body of any other message: the type and the length.
 pub const MESSAGE_HEAD: usize = 5;
-/// What a message's own length counts beside its body: the length field.
+/// Bytes of the length field, which the length of a message includes.
 const LENGTH_FIELD: usize = 4;
 
-/// The longest startup message, as in PostgreSQL itself.
+/// The longest startup message, as in PostgreSQL.
 const MAX_STARTUP_LENGTH: usize = 10_000;
 /// The longest value that clients write, in bytes.
 pub const MAX_VALUE_LENGTH: usize = 64 * 1024;
-/// Room in a query for the statement around a value.
-const STATEMENT_ROOM: usize = 4096;
+/// Bytes in a query for the statement around a value.
+const STATEMENT_LENGTH: usize = 4096;
 /// The longest body of a query: a value in hexadecimal, and the statement around it.
-const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + STATEMENT_ROOM;
-/// The longest body of a data row; endpoints have been seen to return values of some hundred KB.
+const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + STATEMENT_LENGTH;
+/// The longest body of a data row; endpoints return values of some hundred kilobytes.
 pub const MAX_DATA_ROW_BODY: usize = 1024 * 1024;
-/// The longest body of a message that holds neither a statement nor a value.
+/// The longest body of a message with neither a statement nor a value.
 const MAX_OTHER_BODY: usize = 8 * 1024;
 
-/// The kinds of messages that one side of a connection sends after its startup.
+/// The kinds of messages that one side of a connection sends after the startup.
 pub trait MessageKind: Copy {
-    /// The kind with this type byte; none where this side sends no such message.
+    /// The kind with this type byte; `None` if this side sends no such message.
     fn from_type_byte(byte: u8) -> Option<Self>;
-    /// Its longest body, in bytes.
+    /// The longest body, in bytes.
     fn max_body(self) -> usize;
 }
 
-/// What a client sends once its connection is open.
+/// The messages of a client after the startup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientMessage {
     /// A simple query.
@@ -50,15 +49,15 @@
     ExtendedQuery,
     /// The end of an extended query.
     Sync,
-    /// A call of a function by its number.
+    /// A function call.
     FunctionCall,
-    /// Asks for what has been answered so far; the proxy holds nothing back.
+    /// Requests pending responses; the proxy never holds them back.
     Flush,
-    /// A part of a copy, which the proxy never starts.
+    /// Part of a copy, which the proxy never starts.
     CopyData,
     /// The end of a copy.
     CopyDone,
-    /// A copy given up.
+    /// An aborted copy.
     CopyFail,
     /// The client closes the connection.
     Terminate,
@@ -95,26 +94,26 @@
     }
 }
 
-/// What an endpoint sends.
+/// The messages of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointMessage {
-    /// Lets the proxy in, or demands a password.
+    /// Accepts the proxy, or requests a password.
     Authentication,
     /// A setting, or a load report.
     ParameterStatus,
-    /// What a cancellation would have to name.
+    /// The key for cancel requests.
     BackendKeyData,
-    /// A warning beside the answer.
+    /// A warning.
     Notice,
-    /// First part of an answer.
+    /// First part of a response.
     RowDescription,
-    /// Second part of an answer.
+    /// Second part of a response.
     DataRow,
-    /// Last part of an answer.
+    /// Last part of a response.
     CommandComplete,
-    /// An error in place of an answer.
+    /// An error in place of a response.
     Error,
-    /// The endpoint takes the next query.
+    /// The endpoint accepts the next query.
     ReadyForQuery,
 }
 
@@ -148,30 +147,30 @@
     }
 }
 
-/// How a connection can begin.
+/// The first message of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupKind {
-    /// Opens it.
+    /// Opens the connection.
     Startup,
-    /// Asks for an encrypted connection first.
+    /// Requests an encrypted connection.
     Encryption,
-    /// Asks to cancel a query of another connection.
+    /// Cancels a query of another connection.
     Cancel,
 }
 
-/// A message's kind and its place at the front of the input.
+/// The kind and the length of the message at the front of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<K> {
-    /// Of which kind it is.
+    /// The kind.
     pub kind: K,
-    /// Bytes from its first to its last, the head included.
+    /// Number of bytes, including the head.
     pub length: usize,
 }
 
-/// The first message of a connection, once all of it is there.
+/// The first message of a connection, once it is complete.
 ///
 /// # Errors
-/// The message cannot be one that opens a connection; found at its head where that is possible.
+/// The message is not a valid first message; found by its head if possible.
 pub fn startup_frame(input: &Chain) -> Result<Option<Frame<StartupKind>>, ProtocolError> {
     let Some(length) = read_u32(input, 0) else {
         return Ok(None);
@@ -192,10 +191,10 @@
     Ok((input.len() >= length).then_some(Frame { kind, length }))
 }
 
-/// The next message as its head announces it, also when its body has not come yet.
+/// The next message as its head announces it, even if its body is incomplete.
 ///
 /// # Errors
-/// This side of a connection sends no such kind of message, or none so long.
+/// This side of a connection sends no such kind of message, or the message is too long.
 pub fn frame_head<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
     let Some(byte) = input.slices(0..1).flatten().next() else {
         return Ok(None);
@@ -214,7 +213,7 @@
     }))
 }
 
-/// The next message, once all of it is there.
+/// The next message, once it is complete.
 ///
 /// # Errors
 /// As for [`frame_head`].
--- a/crates/proxy/src/postgres/messages.rs
+++ b/crates/proxy/src/postgres/messages.rs
@@ -1,15 +1,15 @@
-//! What the bodies of messages say.
+//! Decodes the bodies of messages.
 
 use super::ProtocolError;
 
-/// A text up to its zero byte, and the bytes behind that.
+/// A text up to its zero byte, and the bytes after that.
 fn split_text(body: &[u8]) -> Option<(&str, &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     let (text, rest) = body.split_at(end);
     Some((std::str::from_utf8(text).ok()?, rest.get(1..)?))
 }
 
-/// Whether a startup message names a user. Its body is pairs of texts up to an empty name.
+/// Whether a startup message names a user. Its body consists of pairs of texts, up to an empty name.
 ///
 /// # Errors
 /// The pairs do not end where the message does.
@@ -41,16 +41,16 @@
     }
 }
 
-/// An error, as far as the proxy uses it.
+/// The fields of an error response that the proxy uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
     /// Its SQLSTATE.
     pub code: String,
-    /// What it says to people; empty where it says nothing.
+    /// Its message; empty if it has none.
     pub message: String,
 }
 
-/// Reads an ErrorResponse.
+/// Decodes an ErrorResponse.
 ///
 /// # Errors
 /// A field has no end, or there is no code.
@@ -70,7 +70,7 @@
     Ok(ErrorResponse { code, message })
 }
 
-/// A setting that the far side announces.
+/// A setting that the peer announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParameterStatus<'a> {
     /// Which setting.
@@ -79,7 +79,7 @@
     pub value: &'a str,
 }
 
-/// Reads a ParameterStatus.
+/// Decodes a ParameterStatus.
 ///
 /// # Errors
 /// The body is not two texts.
@@ -92,12 +92,15 @@
 /// The only value of a DataRow.
 ///
 /// # Errors
-/// There is not exactly one, or its length is not the body's.
+/// There is not exactly one value, or its length does not match the body.
 pub fn row(body: &[u8]) -> Result<&[u8], ProtocolError> {
-    let [0, 1, a, b, c, d, value @ ..] = body else {
+    let Some((length, value)) = body
+        .strip_prefix(&[0, 1])
+        .and_then(<[u8]>::split_first_chunk)
+    else {
         return Err(ProtocolError::DataRow);
     };
-    let length = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
+    let length = u32::from_be_bytes(*length) as usize;
     if length == value.len() {
         Ok(value)
     } else {
@@ -105,23 +108,23 @@
     }
 }
 
-/// Checks that a RowDescription announces one column, and ends with it.
+/// Checks that a RowDescription has exactly one column.
 ///
 /// # Errors
 /// It does not.
 pub fn check_row_description(body: &[u8]) -> Result<(), ProtocolError> {
-    let behind_name = body
+    let after_name = body
         .strip_prefix(&[0, 1])
         .and_then(split_text)
         .map(|(_, rest)| rest);
-    match behind_name {
-        // Table, column, type, its size and modifier, then plain or binary.
+    match after_name {
+        // Table, column, type, size and modifier; then the format, text or binary.
         Some([_, _, _, _, _, _, _, _, _, _, _, _, _, _, _, _, 0, 0 | 1]) => Ok(()),
         _ => Err(ProtocolError::RowDescription),
     }
 }
 
-/// Checks that a CommandComplete counts one row.
+/// Checks that a CommandComplete is for one row.
 ///
 /// # Errors
 /// It does not.
@@ -132,10 +135,10 @@
     }
 }
 
-/// Checks that an authentication message asks for nothing and lets the proxy in.
+/// Checks that an authentication message accepts the proxy without a password.
 ///
 /// # Errors
-/// It asks for a password or the like.
+/// It requests a password or another authentication.
 pub fn check_authentication(body: &[u8]) -> Result<(), ProtocolError> {
     if body == [0, 0, 0, 0] {
         Ok(())
@@ -144,7 +147,7 @@
     }
 }
 
-/// Checks that the far side takes the next query outside any transaction.
+/// Checks that the peer accepts the next query outside of a transaction.
 ///
 /// # Errors
 /// It is in a transaction.
--- a/crates/proxy/src/postgres/sqlstate.rs
+++ b/crates/proxy/src/postgres/sqlstate.rs
@@ -1,8 +1,8 @@
-//! The SQLSTATE codes that the proxy reads and writes, under PostgreSQL's names for them.
+//! The SQLSTATE codes that the proxy receives and sends, by PostgreSQL's names.
 
-/// Feature not supported: a part of the protocol that the proxy does not serve.
+/// Feature not supported: a part of the protocol that the proxy does not implement.
 pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
-/// Protocol violation: what the client sent cannot be read.
+/// Protocol violation: the client sent an invalid message.
 pub const PROTOCOL_VIOLATION: &str = "08P01";
 /// Syntax error: the request itself is invalid and has not been executed.
 pub const SYNTAX_ERROR: &str = "42601";
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -1,11 +1,11 @@
-//! The one form of statement that clients may send, and what its comment says of the request.
+//! Parses the only form of statement that clients may send, with the properties of the request in its comment.
 //!
 //! ```sql
 //! SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */
 //! INSERT INTO facts (code, data) VALUES ('7f3a', '\x9f03') RETURNING data /* id=9b1f,c=order,d=480,k=5c0f */
 //! ```
 //!
-//! A statement in any other form is never passed on: endpoints take none but the clients' own.
+//! A statement in any other form is rejected: endpoints accept only these statements.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -28,44 +28,44 @@
 
 /// Why a statement is not in the form that clients use.
 ///
-/// Its text goes to the client that sent it, so that a change of it changes the wire.
+/// The text is sent to the client, so that changing it changes the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// It differs in a word, a quote or a digit.
+    /// It differs from the form.
     #[error("a statement of another form")]
     Form,
-    /// Its comment names a field twice.
+    /// Its comment has a field twice.
     #[error("a field given twice")]
     RepeatedField,
-    /// Its comment lacks the id, the route or the wait.
+    /// Its comment has no id, no route or no time limit.
     #[error("a field is missing")]
     MissingField,
-    /// The wait is not a number of milliseconds of at most an hour.
+    /// The time limit is not a number of milliseconds of up to an hour.
     #[error("not a time")]
     Wait,
 }
 
-/// What a client's statement says of its request.
+/// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClientStatement<'a> {
-    /// The client's own id for it.
+    /// The id that the client gave the request.
     pub request_id: &'a str,
-    /// The name of its route.
+    /// The name of the route.
     pub route: &'a str,
     /// The code of the fact that it reads or writes.
     pub code: &'a str,
-    /// The client's key, where it sent one.
+    /// The key of the client, if it sent one.
     pub key: Option<&'a str>,
-    /// How long the client waits for the answer.
+    /// How long the client waits for the response.
     pub wait: Duration,
-    /// Where the digits of the wait stand in the statement.
+    /// Position of the digits of the time limit in the statement.
     pub wait_range: Range<usize>,
 }
 
-/// Reads a statement of the form that clients use.
+/// Parses a statement of the form that clients use.
 ///
 /// # Errors
-/// It is of any other form, or a field of its comment is missing or makes no sense.
+/// It has another form, or a field of its comment is missing or invalid.
 pub fn parse_statement(statement: &str) -> Result<ClientStatement<'_>, StatementError> {
     let parts = split_statement(statement)?;
     let comment = Comment::parse(&parts)?;
@@ -87,11 +87,11 @@
     })
 }
 
-/// A statement, cut where its form allows any text.
+/// The variable parts of a statement.
 struct StatementParts<'a> {
     code: &'a str,
     fields: &'a str,
-    /// Where the fields begin in the statement.
+    /// Position of the fields in the statement.
     fields_start: usize,
 }
 
@@ -110,19 +110,19 @@
     })
 }
 
-/// The code and what stands behind the start of the comment.
+/// The code, and the text after the start of the comment.
 fn split_select(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(SELECT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     Some((code, rest.strip_prefix(SELECT_AFTER_CODE)?))
 }
 
-/// The code and what stands behind the start of the comment.
+/// The code, and the text after the start of the comment.
 fn split_insert(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(INSERT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     let (value, rest) = split_at_quote(rest.strip_prefix(INSERT_BEFORE_VALUE)?)?;
-    // Digits come in pairs, or no endpoint can use them.
+    // Two hexadecimal digits are one byte.
     let is_value_valid = value.len().is_multiple_of(2)
         && value.len() <= 2 * MAX_VALUE_LENGTH
         && value.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -137,13 +137,13 @@
     text.find('\'').map(|quote| text.split_at(quote))
 }
 
-/// The digits of a wait, and where they begin in the statement.
+/// The digits of a time limit and their position in the statement.
 struct Wait<'a> {
     digits: &'a str,
     start: usize,
 }
 
-/// The fields of a comment that the proxy reads; others are passed on as they are.
+/// The fields of a comment that the proxy uses; others are forwarded unchanged.
 #[derive(Default)]
 struct Comment<'a> {
     id: Option<&'a str>,
@@ -182,7 +182,7 @@
 }
 
 fn parse_wait(digits: &str) -> Result<u64, StatementError> {
-    // The parser alone would take a sign.
+    // `parse` would accept a sign.
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(StatementError::Wait);
     }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: reads the configuration again and moves the control streams to its addresses.
 //!
-//! Only addresses change; the endpoint list and the rollout status stay as they are. An invalid configuration changes
+//! Only addresses change; the endpoint list and the rollout status are kept. An invalid configuration changes
 //! nothing.
 
 use std::path::Path;
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -1,34 +1,35 @@
-//! Splits the process's descriptors and buffer memory among clients, endpoints and control streams.
+//! Splits descriptors and buffer memory among clients, endpoints and control streams.
 
 use crate::buffers::{self, Pool};
 
-/// Descriptors of the process itself: standard streams, the loop's own, the listener, and some spare.
+/// Descriptors for standard streams, the event loop and the listener, and some spare ones.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The endpoint list's stream, the rollout status stream, the votes' connection, and one of each that is being replaced.
+/// Descriptors for the streams of the endpoint list and the rollout status and the connection for votes, twice each for
+/// a hand-over.
 const CONTROL_DESCRIPTORS: usize = 6;
-/// Endpoints get one descriptor in so many of those left. Clients hold at most a third of all for requests; the rest of
-/// their half is for clients that come to no good, which must be answered before they can be closed.
+/// Endpoints get one in this number of the remaining descriptors. Clients use at most a third of all descriptors for
+/// requests; the rest of their half is for clients that have to be sent an error before they are closed.
 const ENDPOINT_SHARE: usize = 2;
-/// One descriptor in so many of all may belong to an idle client: less than half of what clients hold for requests.
+/// Idle clients may hold one in this number of all descriptors: less than half of those that clients use for requests.
 const IDLE_CLIENT_SHARE: usize = 8;
-/// Buffers may take one part in so many of the memory.
+/// Buffers may use one in this number of the bytes of memory.
 const BUFFER_SHARE: usize = 3;
-/// Buffers for what discovery and the platform send; of the rest half is for clients, half for endpoints.
+/// Buffers for input from discovery and the platform; of the rest, half is for clients and half for endpoints.
 const CONTROL_BUFFERS: usize = 64;
 
-/// How many connections each side may have at a time.
+/// Most connections of each kind at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
     /// Connections to endpoints.
     pub endpoints: usize,
-    /// Clients' connections.
+    /// Connections of clients.
     pub clients: usize,
-    /// Clients' connections that may be idle.
+    /// Idle connections of clients.
     pub idle_clients: usize,
 }
 
 impl ConnectionBudget {
-    /// Splits a limit on descriptors; none where it is too small to serve at all.
+    /// Splits a limit on descriptors; `None` if it is too small to serve requests.
     pub fn split(descriptor_limit: usize) -> Option<ConnectionBudget> {
         let available = descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS);
         if available < ENDPOINT_SHARE {
@@ -43,18 +44,18 @@
     }
 }
 
-/// The pools that received bytes take their buffers from.
+/// The pools of buffers for input.
 pub struct BufferBudget {
-    /// What endpoints send, and all that is sent on.
+    /// For input from endpoints, and for all output.
     pub endpoints: Pool,
-    /// What clients send.
+    /// For input from clients.
     pub clients: Pool,
-    /// What discovery and the platform send.
+    /// For input from discovery and the platform.
     pub control: Pool,
 }
 
 impl BufferBudget {
-    /// Splits the memory that the process may take, in MiB.
+    /// Splits the memory that the process may use, in MiB.
     pub fn split(memory_mb: usize) -> BufferBudget {
         let buffers = memory_mb.saturating_mul(1024 * 1024) / BUFFER_SHARE / buffers::SIZE;
         let for_clients = buffers / 2;
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,27 +1,27 @@
-//! SIGTERM as a state machine without I/O: running, draining until a deadline, finished.
+//! The states of a shutdown after SIGTERM: running, draining until a deadline, finished. No I/O.
 //!
-//! After SIGTERM the proxy still accepts clients for a while, answers all that they ask, and ends once nothing is
-//! pending, or at the deadline. It never goes back to an earlier state.
+//! While it drains, the proxy accepts clients for a while, answers all requests, and exits once nothing is pending or at
+//! the deadline. It never returns to an earlier state.
 
 use std::time::Duration;
 
 use tidescale_policy::types::Timestamp;
 
-/// For so long after SIGTERM clients may still connect, and what they ask is still answered.
+/// Time after SIGTERM in which clients may still connect, and their requests are answered.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// SIGKILL comes after the longest request deadline, but no later than this and the accept period after SIGTERM.
+/// SIGKILL follows after the accept period and the longest time limit of a request, of which at most this counts.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
-/// Responses must be out so long before SIGKILL.
+/// Responses have to be sent this long before SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// When a drain ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// The proxy ends no earlier: clients may still connect until then.
+    /// Clients may connect until then; the proxy does not exit before.
     pub accept_until: Timestamp,
     /// Attempts in flight end by then.
     pub attempt_deadline: Timestamp,
-    /// The proxy ends then, whatever is still pending.
+    /// The proxy exits then, even with requests pending.
     pub shutdown_deadline: Timestamp,
 }
 
@@ -30,24 +30,24 @@
     Running,
     Draining {
         times: DrainTimes,
-        /// Nothing was pending when that was last checked.
+        /// Nothing was pending at the last check.
         was_idle: bool,
     },
     Finished,
 }
 
-/// What the event loop has to do about the shutdown at the end of an iteration.
+/// What the event loop has to do at the end of an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Go on.
+    /// Continue.
     Continue,
-    /// Nothing is pending: accept whoever has connected meanwhile, then check again.
+    /// Nothing is pending: accept clients that have connected meanwhile, then check again.
     AcceptOnceMore,
-    /// End the process.
+    /// Exit.
     Finish,
 }
 
-/// Where the proxy stands between SIGTERM and its end.
+/// The state of the shutdown.
 #[derive(Debug)]
 pub struct Shutdown {
     state: State,
@@ -55,7 +55,7 @@
 }
 
 impl Shutdown {
-    /// Of a proxy that runs; clients wait no longer than `longest_request_deadline` for an answer.
+    /// The proxy runs; `longest_request_deadline` is the longest time limit of a request.
     pub fn new(longest_request_deadline: Duration) -> Shutdown {
         Shutdown {
             state: State::Running,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Starts to drain; none if that has begun already.
+    /// Starts to drain; `None` if it drains already.
     pub fn begin(&mut self, now: Timestamp) -> Option<DrainTimes> {
         if self.state != State::Running {
             return None;
@@ -82,8 +82,7 @@
         Some(times)
     }
 
-    /// What is to be done now. `is_idle` tells whether nothing is pending; it is asked only once the accept period is
-    /// over.
+    /// What to do now. `is_idle` returns whether nothing is pending; it is called only after the accept period.
     pub fn step(&mut self, now: Timestamp, is_idle: impl FnOnce() -> bool) -> ShutdownStep {
         let State::Draining { times, was_idle } = &mut self.state else {
             return match self.state {
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -128,7 +128,7 @@
             observed_at: self.now,
             process,
             hardware_class: record.hardware_class.into(),
-            slowdown: record.slowdown.into(),
+            slowdown: record.slowdown,
             reported_load: ReportedLoad {
                 in_flight: record.reported_load,
                 reported_at: record.reported_at,
@@ -143,9 +143,9 @@
         let stored = records::HardwareClassRecord {
             observed_at: self.now,
             name: record.name.into(),
-            load: record.load.unwrap_or_default().into(),
-            slowdown: record.slowdown.unwrap_or_default().into(),
-            baseline: record.baseline.unwrap_or_default().into(),
+            load: record.load.unwrap_or_default(),
+            slowdown: record.slowdown.unwrap_or_default(),
+            baseline: record.baseline.unwrap_or_default(),
         };
         self.records.push(Record::HardwareClass(stored));
     }
@@ -154,7 +154,7 @@
         let stored = records::RouteRecord {
             observed_at: self.now,
             route: record.route.unwrap_or_default().into(),
-            baseline: record.baseline.into(),
+            baseline: record.baseline,
         };
         self.records.push(Record::Route(stored));
     }
@@ -166,7 +166,7 @@
         let stored = records::OutcomeRecord {
             observed_at: self.now,
             process,
-            build: record.build.get(),
+            build: record.build,
             outcomes: record.outcomes.into(),
             failures: record.failures.into(),
         };
@@ -176,7 +176,7 @@
     fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
         let stored = records::RejectedBuildRecord {
             observed_at: rejected_at,
-            build: build.get(),
+            build,
         };
         self.records.push(Record::RejectedBuild(stored));
     }
@@ -186,7 +186,7 @@
             observed_at: record.taken_at,
             outcomes: record.outcomes,
             failures: record.failures,
-            spread: record.dispersion.into(),
+            dispersion: record.dispersion,
             endpoints: record.endpoints,
             attempts_per_second: record.attempts_per_second,
         };
@@ -196,7 +196,7 @@
     fn zones(&mut self, sums: ZoneSlowdownSums) {
         let stored = records::ZonesRecord {
             observed_at: self.now,
-            slowdowns: [sums.own.into(), sums.other.into()],
+            slowdowns: sums,
         };
         self.records.push(Record::Zones(stored));
     }
@@ -205,7 +205,7 @@
         let stored = records::KeyBuildRecord {
             observed_at: self.now,
             key: key.into(),
-            build: build.get(),
+            build,
         };
         self.records.push(Record::KeyBuild(stored));
     }
@@ -213,8 +213,8 @@
     fn rollout(&mut self, record: RolloutRecord) {
         let stored = records::RolloutRecord {
             observed_at: self.now,
-            build: record.build.get(),
-            stage: record.stage.get(),
+            build: record.build,
+            stage: record.stage,
             phase: record.phase.into(),
             traffic_cap: record.traffic_cap,
             since: record.since,
--- a/crates/proxy/src/snapshot_writer/directory.rs
+++ b/crates/proxy/src/snapshot_writer/directory.rs
@@ -22,7 +22,7 @@
         Some(Process {
             endpoint: endpoint.into(),
             address: identity.address.to_string(),
-            build: identity.build.get(),
+            build: identity.build,
             started_at: identity.started_at.unwrap_or(Timestamp::ZERO),
         })
     }
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,10 +1,8 @@
 //! Restores the records of a snapshot that still count.
 
 use tidescale_policy::Balancer;
-use tidescale_policy::snapshot::{
-    ByZone, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RouteRecord,
-};
-use tidescale_policy::types::{self, BuildNumber, Timestamp};
+use tidescale_policy::snapshot::{HardwareClassRecord, OutcomeRecord, RouteRecord};
+use tidescale_policy::types::{self, Timestamp};
 use tidescale_snapshot::expiry::{self, ProcessMatch};
 use tidescale_snapshot::format::Snapshot;
 use tidescale_snapshot::records::{self, Process, Record, RolloutPhase};
@@ -41,7 +39,7 @@
     current.phase == types::RolloutPhase::Canary
         && snapshot.records.iter().any(|record| {
             matches!(record, Record::Rollout(stored)
-                if BuildNumber::new(stored.build) == current.build && stored.phase == RolloutPhase::Canary)
+                if stored.build == current.build && stored.phase == RolloutPhase::Canary)
         })
 }
 
@@ -55,42 +53,27 @@
 impl Restorer<'_> {
     /// Restores one record if it still counts. Returns whether it does.
     fn restore(&mut self, record: &Record) -> bool {
-        let weight = expiry::weight(record, self.now);
-        let counts = weight > 0.0;
+        let counts = expiry::weight(record, self.now) > 0.0;
         match record {
             Record::Endpoint(record) => self.restore_endpoint(record),
             Record::Outcomes(record) => self.restore_outcomes(record),
             Record::Route(record) => self.restore_route(record),
+            Record::Zones(record) => self.restore_zones(record),
+            Record::FleetBaseline(record) => self.restore_fleet_baseline(record),
             Record::HardwareClass(record) if counts => self.restore_hardware_class(record),
-            Record::FleetBaseline(record) if counts && self.rollout_continues => {
-                self.restore_fleet_baseline(record, weight);
-                true
-            }
             Record::RejectedBuild(record) if counts => {
                 self.policy
-                    .restore_rejected_build(record.build.into(), record.observed_at);
-                true
-            }
-            Record::Zones(record) if counts => {
-                let [own, other] = record
-                    .slowdowns
-                    .map(|zone| zone.map(|sum| sum * weight).into());
-                self.policy.restore_zones(ByZone { own, other });
+                    .restore_rejected_build(record.build, record.observed_at);
                 true
             }
             Record::KeyBuild(record) if counts => {
-                self.policy
-                    .restore_key_build(&record.key, record.build.into());
+                self.policy.restore_key_build(&record.key, record.build);
                 true
             }
             // These are stored for starts without discovery.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
-            // The record has expired, or its rollout has ended.
-            Record::HardwareClass(_)
-            | Record::FleetBaseline(_)
-            | Record::RejectedBuild(_)
-            | Record::Zones(_)
-            | Record::KeyBuild(_) => false,
+            // These have expired.
+            Record::HardwareClass(_) | Record::RejectedBuild(_) | Record::KeyBuild(_) => false,
         }
     }
 
@@ -101,7 +84,7 @@
         };
         self.policy.restore_endpoint(
             &record.process.endpoint,
-            restored.slowdown.map(Into::into),
+            restored.slowdown,
             restored.ejected,
         );
         true
@@ -114,7 +97,7 @@
         };
         self.policy.restore_outcomes(OutcomeRecord {
             endpoint: &record.process.endpoint,
-            build: record.build.into(),
+            build: record.build,
             outcomes: &restored.outcomes,
             failures: &restored.failures,
         });
@@ -126,10 +109,7 @@
             return false;
         };
         let route = Some(record.route.as_str()).filter(|route| !route.is_empty());
-        self.policy.restore_route(RouteRecord {
-            route,
-            baseline: baseline.into(),
-        });
+        self.policy.restore_route(RouteRecord { route, baseline });
         true
     }
 
@@ -137,22 +117,31 @@
         let restored = expiry::restore_hardware_class(record, self.now);
         self.policy.restore_hardware_class(HardwareClassRecord {
             name: &record.name,
-            load: restored.load.map(Into::into),
-            slowdown: restored.slowdown.map(Into::into),
-            baseline: restored.baseline.map(Into::into),
+            load: restored.load,
+            slowdown: restored.slowdown,
+            baseline: restored.baseline,
         });
         true
     }
 
-    fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord, weight: f64) {
-        self.policy.restore_fleet_baseline(FleetBaselineRecord {
-            taken_at: record.observed_at.min(self.now),
-            outcomes: weight * record.outcomes,
-            failures: weight * record.failures,
-            dispersion: record.spread.into(),
-            endpoints: record.endpoints,
-            attempts_per_second: record.attempts_per_second,
-        });
+    fn restore_zones(&mut self, record: &records::ZonesRecord) -> bool {
+        let Some(sums) = expiry::restore_zones(record, self.now) else {
+            return false;
+        };
+        self.policy.restore_zones(sums);
+        true
+    }
+
+    /// The baseline is restored only for the rollout before which it was taken.
+    fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord) -> bool {
+        if !self.rollout_continues {
+            return false;
+        }
+        let Some(baseline) = expiry::restore_fleet_baseline(record, self.now) else {
+            return false;
+        };
+        self.policy.restore_fleet_baseline(baseline);
+        true
     }
 
     /// Whether the endpoint with this name is still the recorded process.
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting to serve: reads the files that are named, takes the address and runs the event loop.
+//! Starts to serve: reads the files, listens on the address and runs the event loop.
 
 use std::ffi::OsString;
 use std::io;
@@ -12,29 +12,29 @@
 use crate::logging;
 use crate::operators::{self, Operators, OperatorsError};
 
-/// Connections that the system holds until they are accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
 /// Why the proxy does not serve.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The environment names no configuration.
+    /// The environment variable for the configuration is not set.
     #[error("PROXY_CONFIG is not set")]
     NoConfiguration,
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error("{}: {source}", path.display())]
     Configuration {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// What is wrong with it.
         source: ConfigError,
     },
-    /// The operators' file cannot be used.
+    /// The operators' file is invalid.
     #[error("{}: {source}", path.display())]
     Operators {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// What is wrong with it.
         source: OperatorsError,
     },
     /// The event loop did not start, or failed.
@@ -42,12 +42,12 @@
     EventLoop(#[from] EventLoopError),
 }
 
-/// Serves until SIGTERM. `config_path` is what the environment names as `PROXY_CONFIG`; without an operators' file
-/// nothing in it is on.
+/// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`. Without an operators'
+/// file, all its features are disabled.
 ///
 /// # Errors
 ///
-/// Where a file cannot be used, the address cannot be taken or the event loop fails.
+/// A file is invalid, the address cannot be listened on, or the event loop fails.
 pub fn serve(config_path: Option<OsString>, operators: Option<&Path>) -> Result<(), StartError> {
     let config_path = PathBuf::from(config_path.ok_or(StartError::NoConfiguration)?);
     let config = config::read_file(&config_path).map_err(|source| StartError::Configuration {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Takes the address, also while connections of an earlier process still hold it.
+/// Listens on the address, even if connections of an earlier process still use it.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = Domain::for_address(address);
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
