--- a/crates/proxy/tests/loopback/main.rs
+++ b/crates/proxy/tests/loopback/main.rs
@@ -5,6 +5,7 @@
 mod discovery;
 mod files;
 mod list;
+mod log;
 mod reload;
 mod start;
 mod stop;
