--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -5,7 +5,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use tidescale_policy::types::Timestamp;
+use tidescale_policy::statistics::WeightedSum;
+use tidescale_policy::types::{BuildNumber, Timestamp};
 use tidescale_snapshot::format::{self, Snapshot};
 use tidescale_snapshot::records::{
     EndpointRecord, ListedEndpointRecord, ListedState, OutcomeRecord, Process, Record, ReportedLoad,
@@ -147,7 +148,7 @@
     let process = Process {
         endpoint: endpoint_name(index),
         address: endpoint_address(index).to_string(),
-        build: BASELINE_BUILD,
+        build: BuildNumber::new(BASELINE_BUILD),
         started_at: Timestamp::ZERO,
     };
     let listed = ListedEndpointRecord {
@@ -163,7 +164,10 @@
         observed_at,
         process: process.clone(),
         hardware_class: "k".to_string(),
-        slowdown: [3.5, 4.0],
+        slowdown: WeightedSum {
+            sum: 3.5,
+            weight: 4.0,
+        },
         reported_load: ReportedLoad {
             in_flight: 2.0,
             reported_at: observed_at,
@@ -173,7 +177,7 @@
     let outcomes = OutcomeRecord {
         observed_at,
         process,
-        build: BASELINE_BUILD,
+        build: BuildNumber::new(BASELINE_BUILD),
         outcomes: vec![4.0, 3.0, 5.0, 2.0],
         failures: vec![0.1, 0.0, 0.2, 0.3],
     };
