--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,9 +1,7 @@
-//! Restores to the policy what still counts of a snapshot.
+//! Restores the records of a snapshot that still count.
 
 use tidescale_policy::Balancer;
-use tidescale_policy::snapshot::{
-    FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RouteRecord,
-};
+use tidescale_policy::snapshot::{HardwareClassRecord, OutcomeRecord, RouteRecord};
 use tidescale_policy::types::{self, Timestamp};
 use tidescale_snapshot::expiry::{self, ProcessMatch};
 use tidescale_snapshot::format::Snapshot;
@@ -11,9 +9,9 @@
 
 use super::directory::EndpointDirectory;
 
-/// Restores to the policy what still counts of the snapshot. Returns the number of records that did.
+/// Restores the records of the snapshot that still count to the policy, and returns their number.
 ///
-/// The policy must know the endpoint list and the rollout's status already: records are checked against them.
+/// Records are checked against the endpoint list and the rollout status, which the policy must know already.
 pub fn restore(
     snapshot: &Snapshot,
     directory: &EndpointDirectory<'_>,
@@ -33,9 +31,9 @@
     counted
 }
 
-/// Whether the build that was under evaluation at the time still is.
+/// Whether the build that was under evaluation when the snapshot was written still is.
 fn rollout_continues(snapshot: &Snapshot, policy: &Balancer) -> bool {
-    let Some(current) = policy.rollout else {
+    let Some(current) = policy.rollout() else {
         return false;
     };
     current.phase == types::RolloutPhase::Canary
@@ -53,41 +51,29 @@
 }
 
 impl Restorer<'_> {
-    /// Restores one record. Returns whether it still counted.
+    /// Restores one record if it still counts. Returns whether it does.
     fn restore(&mut self, record: &Record) -> bool {
-        let weight = expiry::weight(record, self.now);
-        let counts = weight > 0.0;
+        let counts = expiry::weight(record, self.now) > 0.0;
         match record {
             Record::Endpoint(record) => self.restore_endpoint(record),
             Record::Outcomes(record) => self.restore_outcomes(record),
             Record::Route(record) => self.restore_route(record),
+            Record::Zones(record) => self.restore_zones(record),
+            Record::FleetBaseline(record) => self.restore_fleet_baseline(record),
             Record::HardwareClass(record) if counts => self.restore_hardware_class(record),
-            Record::FleetBaseline(record) if counts && self.rollout_continues => {
-                self.restore_fleet_baseline(record, weight);
-                true
-            }
             Record::RejectedBuild(record) if counts => {
                 self.policy
                     .restore_rejected_build(record.build, record.observed_at);
                 true
             }
-            Record::Zones(record) if counts => {
-                let weighted = record.slowdowns.map(|zone| zone.map(|sum| sum * weight));
-                self.policy.restore_zones(weighted);
-                true
-            }
             Record::KeyBuild(record) if counts => {
                 self.policy.restore_key_build(&record.key, record.build);
                 true
             }
-            // Stored for starts without discovery.
+            // These are stored for starts without discovery.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
-            // Expired, or the rollout that it belongs to is over.
-            Record::HardwareClass(_)
-            | Record::FleetBaseline(_)
-            | Record::RejectedBuild(_)
-            | Record::Zones(_)
-            | Record::KeyBuild(_) => false,
+            // These have expired.
+            Record::HardwareClass(_) | Record::RejectedBuild(_) | Record::KeyBuild(_) => false,
         }
     }
 
@@ -138,18 +124,27 @@
         true
     }
 
-    fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord, weight: f64) {
-        self.policy.restore_fleet_baseline(FleetBaselineRecord {
-            taken_at: record.observed_at.min(self.now),
-            outcomes: weight * record.outcomes,
-            failures: weight * record.failures,
-            spread: record.spread,
-            endpoints: record.endpoints,
-            attempts_per_second: record.attempts_per_second,
-        });
+    fn restore_zones(&mut self, record: &records::ZonesRecord) -> bool {
+        let Some(sums) = expiry::restore_zones(record, self.now) else {
+            return false;
+        };
+        self.policy.restore_zones(sums);
+        true
+    }
+
+    /// The baseline is restored only for the rollout before which it was taken.
+    fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord) -> bool {
+        if !self.rollout_continues {
+            return false;
+        }
+        let Some(baseline) = expiry::restore_fleet_baseline(record, self.now) else {
+            return false;
+        };
+        self.policy.restore_fleet_baseline(baseline);
+        true
     }
 
-    /// Whether the endpoint of this name is still this process.
+    /// Whether the endpoint with this name is still the recorded process.
     fn match_process(&self, recorded: &Process) -> ProcessMatch {
         let listed = self.directory.process(&recorded.endpoint);
         ProcessMatch::compare(recorded, listed.as_ref())
--- a/crates/simulation/src/decision_digest.rs
+++ b/crates/simulation/src/decision_digest.rs
@@ -1,19 +1,19 @@
 //! A digest over every decision of a trial, to compare two versions of the policy.
 //!
-//! Each decision adds the instance's index, a number for its kind and its arguments. What is added, and in which
-//! order, must not change: digests of two commits are compared.
+//! Each decision adds the instance's index, a number for its kind, and its arguments. Both the
+//! values and their order must not change, because digests of two commits are compared.
 
 use std::time::Duration;
 
 use tidescale_policy::host::DecisionSink;
 use tidescale_policy::types::{
-    Ballot, EvidenceTest, RollbackVerdict, Timestamp, Vote, whole_micros,
+    AttemptId, Ballot, EvidenceTest, RequestId, RollbackVerdict, Timestamp, Vote, whole_micros,
 };
 
 use crate::decisions::InstanceDecisions;
 use crate::digest::Digest;
 
-/// Numbers that tell the kinds of decisions apart in the digest.
+/// Numbers that stand for the kinds of decisions in the digest.
 mod decision {
     pub(super) const ATTEMPT: u64 = 1;
     pub(super) const CANCEL: u64 = 2;
@@ -33,55 +33,59 @@
 }
 
 impl<'a, 'w> DigestedDecisions<'a, 'w> {
-    /// Adds to this digest what is passed on to these decisions.
+    /// Adds decisions to this digest before it passes them on.
     pub(crate) fn new(digest: &'a mut Digest, decisions: InstanceDecisions<'a, 'w>) -> Self {
         DigestedDecisions { digest, decisions }
     }
 
-    fn add(&mut self, numbers: &[u64]) {
-        self.digest.add(self.decisions.instance() as u64);
-        for number in numbers {
-            self.digest.add(*number);
+    fn add(&mut self, values: &[u64]) {
+        self.digest.add(self.decisions.instance().get() as u64);
+        for value in values {
+            self.digest.add(*value);
         }
     }
 
     fn number_of(&self, endpoint: &str) -> u64 {
-        self.decisions.index_of(endpoint) as u64
+        self.decisions.endpoint_id(endpoint).get() as u64
     }
 }
 
 impl DecisionSink for DigestedDecisions<'_, '_> {
-    fn start_attempt(&mut self, request: u64, endpoint: &str, deadline: Timestamp) {
+    fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp) {
         let endpoint_number = self.number_of(endpoint);
         self.add(&[
             decision::ATTEMPT,
-            request,
+            attempt.request.get(),
             endpoint_number,
             deadline.as_micros(),
         ]);
-        self.decisions.start_attempt(request, endpoint, deadline);
+        self.decisions.start_attempt(attempt, endpoint, deadline);
     }
 
-    fn cancel_attempt(&mut self, request: u64, attempt_index: usize) {
-        self.add(&[decision::CANCEL, request, attempt_index as u64]);
-        self.decisions.cancel_attempt(request, attempt_index);
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.add(&[
+            decision::CANCEL,
+            attempt.request.get(),
+            attempt.index.get() as u64,
+        ]);
+        self.decisions.cancel_attempt(attempt);
     }
 
-    fn reject_request(&mut self, request: u64, retry_after: Duration) {
-        self.add(&[decision::REJECT, request, whole_micros(retry_after)]);
+    fn reject_request(&mut self, request: RequestId, retry_after: Duration) {
+        self.add(&[decision::REJECT, request.get(), whole_micros(retry_after)]);
         self.decisions.reject_request(request, retry_after);
     }
 
-    fn fail_request(&mut self, request: u64) {
-        self.add(&[decision::FAIL, request]);
+    fn fail_request(&mut self, request: RequestId) {
+        self.add(&[decision::FAIL, request.get()]);
         self.decisions.fail_request(request);
     }
 
     fn cast_vote(&mut self, ballot: Ballot) {
         self.add(&[
             decision::VOTE,
-            u64::from(ballot.build),
-            u64::from(ballot.stage),
+            u64::from(ballot.build.get()),
+            u64::from(ballot.stage.get()),
             number_of_vote(ballot.vote),
         ]);
         self.decisions.cast_vote(ballot);
@@ -110,8 +114,8 @@
     fn report_rollback_verdict(&mut self, verdict: &RollbackVerdict) {
         self.add(&[
             decision::ROLLBACK_VERDICT,
-            u64::from(verdict.build),
-            u64::from(verdict.stage),
+            u64::from(verdict.build.get()),
+            u64::from(verdict.stage.get()),
             number_of_test(verdict.test),
             verdict.ejected_endpoints as u64,
         ]);
