--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,8 +1,8 @@
-//! `tidescale-experiments`: one experiment for each sub-command.
+//! `tidescale-experiments`: a subcommand for each experiment.
 //!
-//! Each prints one summary line last and exits non-zero where a stated bound is broken; the same seed gives the same
-//! cases. `disk`, `verdicts` and `trace` run in virtual time and give the same figures for the same seed; `torture` and
-//! `restart` run real processes on the machine's clock.
+//! Each prints a summary line last, and exits non-zero if a stated bound is broken. The same seed
+//! gives the same cases. `disk`, `verdicts` and `trace` run in virtual time and give the same
+//! figures for the same seed; `torture` and `restart` run real processes in real time.
 
 mod bar_chart;
 mod disk;
@@ -29,17 +29,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The power fails at every step of seeded histories of saves on a simulated disk.
+    /// Check that snapshots survive a power loss at every step of seeded save histories on a
+    /// simulated disk.
     Disk(disk::DiskArgs),
-    /// Processes that save are killed, on the real file system.
+    /// Check that snapshots survive SIGKILL during a save, on the real file system.
     Torture(torture::TortureArgs),
-    /// Proxy instances killed under load and started again, with and without a snapshot.
+    /// Kill and restart proxy instances under load, with and without a snapshot.
     Restart(restart::RestartArgs),
-    /// Trials of builds whose behavior is known, against the stated rates.
+    /// Measure the rates of false rollbacks and of missed bad builds in simulated rollouts.
     Verdicts(verdicts::VerdictsArgs),
-    /// One digest over every decision of seeded trials, to compare two commits.
+    /// Print a digest over every decision of seeded trials, to compare two commits.
     Trace(trace::TraceArgs),
-    /// What `torture` starts and kills.
+    /// Save snapshots until killed; started by `torture`.
     #[command(hide = true)]
     Saver(saver::SaverArgs),
 }
--- a/crates/experiments/src/restart/load.rs
+++ b/crates/experiments/src/restart/load.rs
@@ -8,14 +8,14 @@
 
 use super::scenario::Scenario;
 use crate::error::ExperimentError;
-use crate::stand_ins::{Client, ClientAnswer};
+use crate::stand_ins::{Client, ClientAnswer, ClientNumber};
 
-/// Clients of a run.
+/// Number of clients of a run.
 const CLIENTS: u64 = 24;
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Thin traffic: requests come at so many times the interval.
-const THIN_TRAFFIC: u32 = 3;
+/// Under low traffic the interval is multiplied by this factor.
+const LOW_TRAFFIC_FACTOR: u32 = 3;
 
 /// Clients that send requests until they are stopped.
 pub(super) struct Load {
@@ -24,19 +24,20 @@
 }
 
 impl Load {
-    /// Starts them against an instance.
+    /// Starts the clients of an instance.
     pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
         let interval = match scenario {
             Scenario::Trouble | Scenario::Healed => REQUEST_INTERVAL,
-            Scenario::BadBuild => THIN_TRAFFIC * REQUEST_INTERVAL,
+            Scenario::BadBuild => LOW_TRAFFIC_FACTOR * REQUEST_INTERVAL,
         };
         let clients = (0..CLIENTS)
+            .map(ClientNumber)
             .map(|number| {
                 let stop = stop.clone();
                 let client = Client {
                     proxy,
-                    number,
+                    client: number,
                     interval,
                 };
                 thread::spawn(move || client.run(&stop))
@@ -45,15 +46,15 @@
         Load { stop, clients }
     }
 
-    /// Stops the clients and returns what they noted.
+    /// Stops the clients and returns the answers that they recorded.
     pub(super) fn stop(self) -> Result<Vec<ClientAnswer>, ExperimentError> {
         self.stop.store(true, Relaxed);
         let mut answers = Vec::new();
         for client in self.clients {
-            let noted = client
+            let recorded = client
                 .join()
                 .map_err(|_| ExperimentError::Panicked("a client"))?;
-            answers.extend(noted);
+            answers.extend(recorded);
         }
         Ok(answers)
     }
--- a/crates/experiments/src/saver.rs
+++ b/crates/experiments/src/saver.rs
@@ -1,4 +1,5 @@
-//! `saver`: the process that `torture` starts and kills. It saves one state after the other and prints what it does.
+//! `saver`: the process that `torture` starts and kills. It saves numbered states one after another
+//! and prints a line before and after each save.
 
 use std::io::{Write, stdout};
 use std::path::{Path, PathBuf};
@@ -13,28 +14,29 @@
 
 use crate::error::ExperimentError;
 
-/// First word of the line printed before a save; the state's number follows.
+/// First word of the line printed before a save; the number of the state follows.
 pub const BEGUN: &str = "begun";
-/// First word of the line printed after it.
+/// First word of the line printed after a save; the number of the state follows.
 pub const SAVED: &str = "saved";
 
-/// The lock of a killed process is free within this time.
+/// Time within which the lock of a killed process is released.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two attempts at the lock: short against a process's life of some milliseconds.
+/// Time between two attempts to lock; short compared with the few milliseconds that a process
+/// lives.
 const LOCK_POLL: Duration = Duration::from_millis(1);
 
 /// Arguments of `saver`.
 #[derive(Args)]
 pub struct SaverArgs {
-    /// The folder that it saves in.
+    /// Directory for the snapshots.
     folder: PathBuf,
 }
 
-/// Saves for ever, counting on from the state that it finds.
+/// Saves states until the process is killed, starting after the last saved state.
 ///
 /// # Errors
 ///
-/// Where the folder cannot be taken, or a save fails.
+/// If the directory cannot be locked, or a save fails.
 pub fn run(args: &SaverArgs) -> Result<String, ExperimentError> {
     let (mut store, opened) = Store::open(lock_directory(&args.folder)?);
     let mut number = opened
@@ -43,22 +45,24 @@
     let mut out = stdout();
     loop {
         number += 1;
-        writeln!(out, "{BEGUN} {number}").map_err(ExperimentError::in_step("print"))?;
+        writeln!(out, "{BEGUN} {number}")
+            .map_err(ExperimentError::in_step("write to standard output"))?;
         store
             .save(Timestamp::from_micros(number), records_of(number))
             .map_err(|source| ExperimentError::Save {
                 path: args.folder.clone(),
                 source,
             })?;
-        writeln!(out, "{SAVED} {number}").map_err(ExperimentError::in_step("print"))?;
+        writeln!(out, "{SAVED} {number}")
+            .map_err(ExperimentError::in_step("write to standard output"))?;
     }
 }
 
-/// Locks a directory that a process killed a moment ago may still have locked.
+/// Locks a directory whose lock may still be held by a process that was just killed.
 ///
 /// # Errors
 ///
-/// Where the directory cannot be made or locked, or stays locked.
+/// If the directory cannot be created or locked, or stays locked.
 pub fn lock_directory(folder: &Path) -> Result<Directory, ExperimentError> {
     let started_at = Instant::now();
     loop {
--- a/crates/experiments/src/stand_ins.rs
+++ b/crates/experiments/src/stand_ins.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins on loopback for what a proxy instance meets: endpoints, discovery, the platform, clients.
+//! Small substitutes on loopback for the systems around a proxy instance: endpoints, discovery, the
+//! platform and clients.
 //!
-//! Each runs on threads of its own until the process ends. Bytes are made here from the protocols' pages and not by the
-//! proxy's codecs, so that a fault there does not hide itself.
+//! Each runs on its own threads until the process ends. Messages are encoded here from the protocol
+//! specifications and not by the proxy's codecs, so that a mistake in a codec is noticed.
 
 mod client;
 mod endpoint;
@@ -9,6 +10,6 @@
 mod message;
 mod services;
 
-pub use client::{Client, ClientAnswer};
+pub use client::{Client, ClientAnswer, ClientNumber};
 pub use endpoint::{Behavior, StandInEndpoint};
-pub use services::{Announcement, StandInPlatform, start_discovery};
+pub use services::{AnnouncedPhase, Announcement, StandInPlatform, start_discovery};
--- a/crates/experiments/src/stand_ins/endpoint.rs
+++ b/crates/experiments/src/stand_ins/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint that answers queries after a delay, with errors or not at all, as is set while it runs.
+//! An endpoint that answers queries after a delay, with errors, or not at all. The behavior can be
+//! changed while it runs.
 
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,37 +10,37 @@
 
 use super::message;
 
-/// Time that an answer to a health check takes.
+/// Time until the response to a health check.
 const HEALTH_CHECK_TIME: Duration = Duration::from_micros(300);
-/// How long an endpoint that does not answer keeps the connection: longer than any run.
+/// How long an unresponsive endpoint keeps a connection open: longer than any run.
 const SILENCE: Duration = Duration::from_secs(60);
-/// The answer to a failed request.
+/// Body of the error response to a failed request.
 const ERROR_BODY: &[u8] = b"SERROR\0CXX000\0Mno\0\0";
-/// Type of the one field of a row: bytes (`bytea`).
+/// Type of the only field of a row: `bytea`.
 const FIELD_TYPE: u32 = 17;
 
-/// What an endpoint does, changed while it runs.
+/// Behavior of an endpoint, which can be changed while it runs.
 #[derive(Default)]
 pub struct Behavior {
-    /// Mean time of an answer, in milliseconds.
+    /// Mean time until an answer, in milliseconds.
     pub delay_ms: AtomicU64,
-    /// Of a hundred requests, so many get an error.
+    /// Percentage of the requests that get an error.
     pub errors_percent: AtomicU64,
-    /// Nothing is answered.
+    /// Nothing is answered, not even health checks.
     pub unresponsive: AtomicBool,
-    /// Requests that have come, health checks not counted.
+    /// Number of requests received, without health checks.
     pub requests: AtomicU64,
 }
 
 impl Behavior {
-    /// Between three and five quarters of the mean delay, by the number of the request.
+    /// Delay of an answer: between 75% and 125% of the mean, depending on the request's number.
     fn delay_of(&self, request: u64) -> Duration {
         let mean_micros = self.delay_ms.load(Relaxed) * 1000;
-        let spread = mean_micros / 2 * (request * 7 % 16) / 16;
-        Duration::from_micros(mean_micros * 3 / 4 + spread)
+        let jitter = mean_micros / 2 * (request * 7 % 16) / 16;
+        Duration::from_micros(mean_micros * 3 / 4 + jitter)
     }
 
-    /// Spreads the errors over the requests' numbers.
+    /// Whether a request gets an error; errors are distributed evenly over the requests' numbers.
     fn fails(&self, request: u64) -> bool {
         request * 37 % 100 < self.errors_percent.load(Relaxed)
     }
@@ -49,16 +50,16 @@
 pub struct StandInEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
-    /// What it does.
+    /// Its behavior.
     pub behavior: Arc<Behavior>,
 }
 
 impl StandInEndpoint {
-    /// Starts one with this mean time of an answer.
+    /// Starts an endpoint with this mean time until an answer.
     ///
     /// # Errors
     ///
-    /// Where it cannot listen.
+    /// If it cannot listen.
     pub fn start(delay_ms: u64) -> io::Result<StandInEndpoint> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -68,7 +69,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let behavior = shared.clone();
-                // A connection that breaks is the proxy's to notice.
+                // Broken connections are ignored here; the proxy has to handle them.
                 thread::spawn(move || drop(serve(stream, &behavior)));
             }
         });
--- a/crates/experiments/src/stand_ins/message.rs
+++ b/crates/experiments/src/stand_ins/message.rs
@@ -1,44 +1,45 @@
-//! Messages of the PostgreSQL protocol, version 3: a type, a length that counts itself, and a body.
+//! Messages of the PostgreSQL protocol, version 3: a type, a length that includes itself, and a
+//! body.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// Bytes of a message's length.
+/// Number of bytes of the length field.
 const LENGTH_BYTES: usize = 4;
-/// The longest message that is read; what claims to be longer is cut off there.
+/// Length of the longest message that is read; longer ones are truncated.
 const LONGEST: usize = 1 << 20;
-/// Protocol 3.0, as it stands in a start-up message.
+/// Protocol version 3.0 in a start-up message.
 const PROTOCOL_VERSION: u32 = 196_608;
 
 /// Type of a client's query.
 pub(super) const QUERY: u8 = b'Q';
-/// Type of the end of a query's answer.
+/// Type of the message that ends the response to a query.
 pub(super) const READY_FOR_QUERY: u8 = b'Z';
-/// Type of the end of a statement that has succeeded.
+/// Type of the message that a statement has succeeded.
 pub(super) const COMMAND_COMPLETE: u8 = b'C';
-/// Type of a statement's failure.
+/// Type of the message that a statement has failed.
 pub(super) const ERROR_RESPONSE: u8 = b'E';
-/// Type of a successful authentication.
+/// Type of the message that authentication has succeeded.
 pub(super) const AUTHENTICATION: u8 = b'R';
-/// Type of the description of the rows to come.
+/// Type of the description of the rows that follow.
 pub(super) const ROW_DESCRIPTION: u8 = b'T';
 /// Type of a row.
 pub(super) const DATA_ROW: u8 = b'D';
 
-/// A message that was read.
+/// A received message.
 pub(super) struct Message {
     /// Its type.
     pub(super) tag: u8,
-    /// What stands behind its length.
+    /// The bytes after its length.
     pub(super) body: Vec<u8>,
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub(super) fn encode(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &length_of(body), body].concat()
 }
 
-/// The bytes of a start-up message, which has no type.
+/// Encodes a start-up message, which has no type.
 pub(super) fn encode_start_up(parameters: &[u8]) -> Vec<u8> {
     let body = [&PROTOCOL_VERSION.to_be_bytes()[..], parameters].concat();
     [&length_of(&body)[..], &body].concat()
@@ -52,7 +53,7 @@
     Ok(Message { tag: tag[0], body })
 }
 
-/// Reads a start-up message, and nothing of what it says.
+/// Reads a start-up message and ignores its contents.
 pub(super) fn read_start_up(stream: &mut TcpStream) -> io::Result<()> {
     read_body(stream).map(drop)
 }
--- a/crates/experiments/src/verdicts/report.rs
+++ b/crates/experiments/src/verdicts/report.rs
@@ -1,4 +1,4 @@
-//! The trials as tables for people and as rows for programs.
+//! The trials as Markdown tables and as rows of a Parquet file.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,7 +13,8 @@
 
 const TABLE_HEAD: &str = "| | trials | % | 95% interval |\n| --- | ---: | ---: | ---: |\n";
 
-/// The tables in Markdown; `times` are the seconds to the rollback of harmful builds, sorted.
+/// The tables in Markdown. `times` are the seconds from the offer to the rollback of harmful
+/// builds, sorted.
 pub(super) fn tables(rows: &[TrialRow], times: &[f64]) -> String {
     let good: Vec<&TrialRow> = rows.iter().filter(|row| row.is_good()).collect();
     let harmful: Vec<&TrialRow> = rows.iter().filter(|row| row.is_harmful()).collect();
@@ -55,7 +56,7 @@
     parquet_table::write(path, &columns)
 }
 
-/// A property of some trials, by group.
+/// The proportion of some trials that have a property, by group.
 struct Breakdown<'a> {
     title: &'static str,
     rows: &'a [&'a TrialRow],
@@ -64,7 +65,7 @@
 }
 
 impl Breakdown<'_> {
-    /// A title and a table with a line for each group that has trials.
+    /// The title, and a table with a line for each group that has trials.
     fn table(&self) -> String {
         let mut groups: BTreeMap<&str, Proportion> = BTreeMap::new();
         for row in self.rows {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The breakdowns that the tables show, in their order.
+/// The breakdowns in the order of the tables.
 fn breakdowns<'a>(good: &'a [&'a TrialRow], harmful: &'a [&'a TrialRow]) -> [Breakdown<'a>; 4] {
     [
         Breakdown {
@@ -113,11 +114,11 @@
     let interval = proportion.interval();
     format!(
         "| {name} | {} of {} | {:.1} | {:.1} to {:.1} |\n",
-        proportion.hits,
+        proportion.matching,
         proportion.total,
         100.0 * proportion.share(),
-        100.0 * interval.least,
-        100.0 * interval.most
+        100.0 * interval.lower,
+        100.0 * interval.upper
     )
 }
 
@@ -131,7 +132,7 @@
     }
 }
 
-/// The test's number in the rows.
+/// Number of a test in the Parquet file.
 fn test_number(test: EvidenceTest) -> f64 {
     match test {
         EvidenceTest::Failures => 0.0,
@@ -141,7 +142,7 @@
     }
 }
 
-/// The value below which this share of the sorted values lies; NaN of none.
+/// The value below which this share of the sorted values lies; NaN if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let index = (share * sorted.len() as f64) as usize;
     sorted.get(index).copied().unwrap_or(f64::NAN)
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -1,4 +1,4 @@
-//! The cases, and what is measured of each: the trial itself, and the harm that its build does.
+//! The cases, and the measurements of each: the trial itself, and the harm that its build does.
 
 use std::time::Duration;
 
@@ -9,33 +9,34 @@
 use tidescale_simulation::random_stream::RandomStream;
 use tidescale_simulation::trial::run_trial;
 
-/// Tells the draws of a case apart from those of its trial.
+/// Keeps the draws of a case apart from those of its trial.
 const CASE_STREAM: u64 = 0;
-/// Share of the served weight lost where a build serves the whole fleet: from here on it is harmful.
-const HARMFUL: f64 = 0.03;
-/// The last seconds of a trial that nobody holds up, when the whole fleet runs the build.
+/// A build is harmful if at least this share of the served weight is lost when it serves the whole
+/// fleet.
+const HARMFUL_LOSS: f64 = 0.03;
+/// Number of seconds at the end of a trial without votes in which the whole fleet runs the build.
 const MEASURED_SECONDS: usize = 8;
-/// Share of the trials that have no trouble but the build.
+/// Share of the trials without a confounder.
 const WITHOUT_CONFOUNDER: f64 = 0.5;
 
-/// One trial with what is known and what was measured of it.
+/// One trial: its case and its measurements.
 pub(super) struct TrialRow {
     /// Seed of the trial.
     pub(super) seed: u64,
-    /// What the build is like.
+    /// Behavior of the build.
     pub(super) build: BuildBehavior,
-    /// What else went wrong.
+    /// Trouble that the build did not cause.
     pub(super) confounder: Confounder,
-    /// Share of the served weight that the build loses by itself.
+    /// Share of the served weight that is lost because of the build alone.
     pub(super) harm: f64,
-    /// Share of what was offered that was served over the whole trial.
+    /// Served weight as a share of the offered weight, over the whole trial.
     pub(super) served_share: f64,
-    /// What came of the trial.
+    /// Result of the trial.
     pub(super) outcome: TrialOutcome,
 }
 
 impl TrialRow {
-    /// Runs a trial, and for a build that is not good the pair of trials that measures its harm.
+    /// Runs a trial and, for a build that is not good, the pair of trials that measures its harm.
     pub(super) fn measure(case: TrialCase) -> TrialRow {
         let outcome = run_trial(case);
         let harm = if case.build.is_good() {
@@ -53,28 +54,28 @@
         }
     }
 
-    /// A rollback would be a false one.
+    /// Whether a rollback of the build would be a false one.
     pub(super) fn is_good(&self) -> bool {
         self.build.is_good()
     }
 
-    /// It must not pass.
+    /// Whether the build has to be rolled back.
     pub(super) fn is_harmful(&self) -> bool {
-        self.harm >= HARMFUL
+        self.harm >= HARMFUL_LOSS
     }
 
-    /// The build was rolled back.
+    /// Whether the build was rolled back.
     pub(super) fn was_rolled_back(&self) -> bool {
         self.outcome.rolled_back_after.is_some()
     }
 
-    /// It was not.
+    /// Whether the build was not rolled back.
     pub(super) fn has_passed(&self) -> bool {
         !self.was_rolled_back()
     }
 }
 
-/// Draws what a trial of this seed is.
+/// Draws the case of a trial with this seed.
 pub(super) fn draw_case(
     seed: u64,
     size: FleetSize,
@@ -103,10 +104,10 @@
     duration.as_micros() as f64 / 1e6
 }
 
-/// Share of the served weight lost by the build alone: against a paired trial of a good build, nobody voting and nothing
-/// else going wrong.
+/// Share of the served weight that is lost because of the build alone, measured against a paired
+/// trial of a good build, both without votes and without a confounder.
 fn measure_harm(case: TrialCase) -> f64 {
-    /// Keeps the share finite where nothing is served.
+    /// Keeps the share finite if nothing is served.
     const SMALLEST: f64 = 1e-9;
     let first_second = case.size.duration.as_secs() as usize - MEASURED_SECONDS;
     let served_share = |build: BuildBehavior| {
