--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -138,6 +138,7 @@
         let index = self.endpoints.find(name)?;
         Some(EndpointStatus {
             state: self.endpoints[index].state,
+            ejected: self.health.is_ejected(index),
             in_flight: self.loads.in_flight(index),
             reported_load: self.loads.reported(index).in_flight,
         })
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -1,39 +1,39 @@
-//! Collects the policy's records, a bounded number in each slice.
+//! Collects the records of the policy, a bounded number in each slice.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
     EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, RolloutRecord,
-    RouteRecord, SnapshotSink,
+    RouteRecord, SnapshotSink, ZoneSlowdownSums,
 };
-use tidescale_policy::statistics::CountKey;
-use tidescale_policy::types::{EndpointState, Timestamp};
+use tidescale_policy::statistics::OutcomeKey;
+use tidescale_policy::types::{BuildNumber, EndpointIndex, EndpointState, Timestamp};
 use tidescale_snapshot::records::{self, ListedState, Record, ReportedLoad};
 
 use super::directory::EndpointDirectory;
 
-/// Endpoints, or endpoints' outcomes, in a slice: a few tens of microseconds of the event loop's time.
+/// Endpoints, or outcomes of endpoints, in a slice; they take a few tens of microseconds.
 const SLICE_LENGTH: usize = 64;
 
-/// Where collecting continues.
+/// The position at which collecting continues.
 #[derive(Clone, Copy)]
 enum Cursor {
-    /// With the endpoint of this index.
-    Endpoints(usize),
-    /// With the outcomes at this position, as the policy names it.
-    Outcomes(CountKey),
-    /// With all that is neither.
+    /// The endpoint with this index.
+    Endpoints(EndpointIndex),
+    /// The outcomes with this key.
+    Outcomes(OutcomeKey),
+    /// All other records.
     Rest,
 }
 
 impl Cursor {
-    const START: Cursor = Cursor::Endpoints(0);
-    const FIRST_OUTCOMES: Cursor = Cursor::Outcomes(CountKey {
-        build: 0,
-        endpoint: 0,
+    const START: Cursor = Cursor::Endpoints(EndpointIndex::new(0));
+    const FIRST_OUTCOMES: Cursor = Cursor::Outcomes(OutcomeKey {
+        build: BuildNumber::new(0),
+        endpoint: EndpointIndex::new(0),
     });
 }
 
-/// A snapshot's records as far as they are collected.
+/// The records of a snapshot that were collected so far.
 pub(super) struct Collection {
     records: Vec<Record>,
     cursor: Cursor,
@@ -49,7 +49,8 @@
 }
 
 impl Collection {
-    /// Collects some endpoints or outcomes, or all the rest. Returns the snapshot's records once they are complete.
+    /// Collects some endpoints or outcomes, or all other records. Returns the records of the snapshot once they are
+    /// complete.
     pub(super) fn collect_slice(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -75,14 +76,14 @@
             Cursor::Rest => {
                 policy.save_rest(&mut sink);
                 self.cursor = Cursor::START;
-                // Records that must not be left out if the file would be too long come first.
+                // The file is cut at its maximum length: the records collected last are the most important ones.
                 self.records.reverse();
                 Some(std::mem::take(&mut self.records))
             }
         }
     }
 
-    /// Collects everything anew, at once.
+    /// Collects all records from the start, in one go.
     pub(super) fn collect_all(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Receives the policy's records and converts them to those that are stored.
+/// Receives the records of the policy and converts them to stored records.
 struct Collector<'a> {
     now: Timestamp,
     directory: &'a EndpointDirectory<'a>,
@@ -172,7 +173,7 @@
         self.records.push(Record::Outcomes(stored));
     }
 
-    fn rejected_build(&mut self, build: u32, rejected_at: Timestamp) {
+    fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
         let stored = records::RejectedBuildRecord {
             observed_at: rejected_at,
             build,
@@ -185,22 +186,22 @@
             observed_at: record.taken_at,
             outcomes: record.outcomes,
             failures: record.failures,
-            spread: record.spread,
+            dispersion: record.dispersion,
             endpoints: record.endpoints,
             attempts_per_second: record.attempts_per_second,
         };
         self.records.push(Record::FleetBaseline(stored));
     }
 
-    fn zones(&mut self, slowdowns: [[f64; 2]; 2]) {
+    fn zones(&mut self, sums: ZoneSlowdownSums) {
         let stored = records::ZonesRecord {
             observed_at: self.now,
-            slowdowns,
+            slowdowns: sums,
         };
         self.records.push(Record::Zones(stored));
     }
 
-    fn key_build(&mut self, key: &str, build: u32) {
+    fn key_build(&mut self, key: &str, build: BuildNumber) {
         let stored = records::KeyBuildRecord {
             observed_at: self.now,
             key: key.into(),
