--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -6,6 +6,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use tidescale_policy::statistics::WeightedSum;
 use tidescale_policy::types::Timestamp;
 use tidescale_snapshot::format::{self, Snapshot};
 use tidescale_snapshot::records::{
@@ -151,7 +152,7 @@
     let process = Process {
         endpoint: endpoint_name(position),
         address: endpoint_address(position).to_string(),
-        build: BASELINE_BUILD.get(),
+        build: BASELINE_BUILD,
         started_at: Timestamp::ZERO,
     };
     let listed = ListedEndpointRecord {
@@ -167,7 +168,10 @@
         observed_at,
         process: process.clone(),
         hardware_class: "k".to_string(),
-        slowdown: [3.5, 4.0],
+        slowdown: WeightedSum {
+            sum: 3.5,
+            weight: 4.0,
+        },
         reported_load: ReportedLoad {
             in_flight: 2.0,
             reported_at: observed_at,
@@ -177,7 +181,7 @@
     let outcomes = OutcomeRecord {
         observed_at,
         process,
-        build: BASELINE_BUILD.get(),
+        build: BASELINE_BUILD,
         outcomes: vec![4.0, 3.0, 5.0, 2.0],
         failures: vec![0.1, 0.0, 0.2, 0.3],
     };
