--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -13,6 +13,7 @@
 mod stand_ins;
 mod torture;
 mod trace;
+mod units;
 mod verdicts;
 
 use std::process::ExitCode;
--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -21,6 +21,7 @@
 use super::window::{ByWindow, Window};
 use crate::error::ExperimentError;
 use crate::stand_ins::{Behavior, ClientAnswer, StandInEndpoint, StandInPlatform, start_discovery};
+use crate::units::milliseconds;
 
 /// Latency objective of the only route in the instance's settings.
 const OBJECTIVE: Duration = Duration::from_millis(200);
@@ -335,7 +336,3 @@
         })
         .collect()
 }
-
-fn milliseconds(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
-}
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -21,6 +21,7 @@
 use super::instance::{Launch, ProxyInstance, RunNumber, free_address, own_address};
 use super::scenario::{BASELINE_BUILD, ListPosition, RELEASED};
 use crate::error::ExperimentError;
+use crate::units::milliseconds;
 
 /// How long an instance runs, which is enough for several saves.
 const RUN_TIME: Duration = Duration::from_secs(3);
@@ -254,7 +255,3 @@
         .and_then(|digits| digits.parse().ok())
         .ok_or(ExperimentError::FigureNotLogged(key))
 }
-
-fn milliseconds(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
-}
--- a/crates/experiments/src/stand_ins/services.rs
+++ b/crates/experiments/src/stand_ins/services.rs
@@ -57,36 +57,36 @@
     pub age: Duration,
 }
 
+/// A field of an announcement in the platform's protocol.
+struct Field {
+    name: &'static str,
+    value: String,
+}
+
 impl Announcement {
+    fn fields(&self) -> [Field; 5] {
+        let field = |name, value| Field { name, value };
+        [
+            field("version", self.build.to_string()),
+            field("step", self.stage.to_string()),
+            field("status", self.phase.protocol_word().to_string()),
+            field("maxWeight", self.traffic_cap.to_string()),
+            field("observedAgoMs", self.age.as_millis().to_string()),
+        ]
+    }
+
     fn as_form(&self) -> String {
-        let Announcement {
-            build,
-            stage,
-            phase,
-            traffic_cap,
-            age,
-        } = self;
-        let status = phase.protocol_word();
-        let age_ms = age.as_millis();
-        format!(
-            "version={build}&step={stage}&status={status}&maxWeight={traffic_cap}&observedAgoMs={age_ms}"
-        )
+        let pairs = self
+            .fields()
+            .map(|Field { name, value }| format!("{name}={value}"));
+        pairs.join("&")
     }
 
     fn as_xml(&self) -> String {
-        let Announcement {
-            build,
-            stage,
-            phase,
-            traffic_cap,
-            age,
-        } = self;
-        let status = phase.protocol_word();
-        let age_ms = age.as_millis();
-        let item = format!(
-            "<version>{build}</version><step>{stage}</step><status>{status}</status>\
-             <maxWeight>{traffic_cap}</maxWeight><observedAgoMs>{age_ms}</observedAgoMs>"
-        );
+        let elements = self
+            .fields()
+            .map(|Field { name, value }| format!("<{name}>{value}</{name}>"));
+        let item = elements.concat();
         format!("<?xml version=\"1.0\"?><Response><groups><item>{item}</item></groups></Response>")
     }
 }
--- a/crates/experiments/src/torture.rs
+++ b/crates/experiments/src/torture.rs
@@ -75,8 +75,8 @@
     let lanes = args.lanes.max(1);
     let parent = args.dir.clone().unwrap_or_else(std::env::temp_dir);
     let dir = parent.join(format!("tidescale-torture-{}", std::process::id()));
-    fs::create_dir_all(&dir).map_err(ExperimentError::at(&dir))?;
     let program = std::env::current_exe().map_err(ExperimentError::in_step("find this program"))?;
+    fs::create_dir_all(&dir).map_err(ExperimentError::at(&dir))?;
     let run_lane = |lane_number: u64| {
         let lane = Lane {
             program: &program,
@@ -124,15 +124,15 @@
     fn run(&self) -> Result<LaneReport, ExperimentError> {
         let mut random = Rand64::new(u128::from(self.seed));
         let mut report = LaneReport::default();
-        let mut last = 0;
+        let mut last_state = 0;
         for _ in 0..self.kills {
             let life = Duration::from_micros(random.rand_u64() % LONGEST_LIFE_MICROS);
-            let progress = self.start_and_kill(life, last, &mut report)?;
+            let progress = self.start_and_kill(life, last_state, &mut report)?;
             let read_back = self.check(progress, report.kills + 1)?;
             report.kills += 1;
-            report.saves += progress.saved - last;
+            report.saves += progress.saved - last_state;
             report.kills_during_save += u64::from(progress.begun > progress.saved);
-            last = read_back;
+            last_state = read_back;
         }
         Ok(report)
     }
@@ -141,7 +141,7 @@
     fn start_and_kill(
         &self,
         life: Duration,
-        last: u64,
+        last_state: u64,
         report: &mut LaneReport,
     ) -> Result<Progress, ExperimentError> {
         let started_at = Instant::now();
@@ -153,7 +153,7 @@
             .map_err(ExperimentError::in_step("start a process"))?;
         let output = child.stdout.take().ok_or(TortureError::NoOutput)?;
         let mut lines = BufReader::new(output).lines();
-        let first = lines
+        let first_line = lines
             .next()
             .and_then(Result::ok)
             .ok_or(TortureError::NoOutput)?;
@@ -163,7 +163,7 @@
             .kill()
             .and_then(|()| child.wait().map(drop))
             .map_err(ExperimentError::in_step("kill a process"))?;
-        Ok(read_progress(first, lines, last)?)
+        Ok(read_progress(first_line, lines, last_state)?)
     }
 
     /// Checks the files that a killed process has left, and returns the number of the state that is
@@ -208,15 +208,15 @@
 
 /// Reads the output of a process, from its first line to the end.
 fn read_progress(
-    first: String,
+    first_line: String,
     rest: std::io::Lines<BufReader<ChildStdout>>,
-    last: u64,
+    last_state: u64,
 ) -> Result<Progress, TortureError> {
     let mut progress = Progress {
-        begun: last,
-        saved: last,
+        begun: last_state,
+        saved: last_state,
     };
-    for line in std::iter::once(first).chain(rest.map_while(Result::ok)) {
+    for line in std::iter::once(first_line).chain(rest.map_while(Result::ok)) {
         match line.split_once(' ') {
             Some((BEGUN, number)) => progress.begun = number.parse().unwrap_or(progress.begun),
             Some((SAVED, number)) => progress.saved = number.parse().unwrap_or(progress.saved),
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -14,6 +14,7 @@
 use tidescale_simulation::case::{FleetSize, RollbackTrigger};
 
 use crate::error::ExperimentError;
+use crate::units::seconds;
 use interval::Proportion;
 use trials::TrialRow;
 
@@ -190,7 +191,7 @@
         .iter()
         .filter(|row| row.is_harmful())
         .filter_map(|row| row.outcome.rolled_back_after)
-        .map(trials::seconds)
+        .map(seconds)
         .collect();
     times.sort_unstable_by(f64::total_cmp);
     times
--- a/crates/experiments/src/verdicts/report.rs
+++ b/crates/experiments/src/verdicts/report.rs
@@ -7,9 +7,10 @@
 use tidescale_policy::types::EvidenceTest;
 
 use super::interval::Proportion;
-use super::trials::{TrialRow, seconds};
+use super::trials::TrialRow;
 use crate::error::ExperimentError;
 use crate::parquet_table::{self, Column};
+use crate::units::seconds;
 
 const TABLE_HEAD: &str = "| | trials | % | 95% interval |\n| --- | ---: | ---: | ---: |\n";
 
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -1,7 +1,5 @@
 //! The cases, and the measurements of each: the trial itself, and the harm that its build does.
 
-use std::time::Duration;
-
 use tidescale_simulation::build_behavior::BuildBehavior;
 use tidescale_simulation::case::{FleetSize, RollbackTrigger, SettingsProfile, TrialCase};
 use tidescale_simulation::confounder::Confounder;
@@ -99,11 +97,6 @@
     }
 }
 
-/// Seconds of a duration in whole microseconds.
-pub(super) fn seconds(duration: Duration) -> f64 {
-    duration.as_micros() as f64 / 1e6
-}
-
 /// Share of the served weight that is lost because of the build alone, measured against a paired
 /// trial of a good build, both without votes and without a confounder.
 fn measure_harm(case: TrialCase) -> f64 {
