--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -1,8 +1,9 @@
-//! Buffers of one size, reused from a bounded pool, and chains of them that hold messages of any length. The only I/O is
-//! through the `Read` or `Write` that is passed in.
+//! Buffers of one size, reused from a bounded pool, and chains of them that hold messages of any
+//! length. The only I/O is through the `Read` or `Write` that is passed in.
 //!
-//! Reading stops when a pool is empty. Writing never does: requests that were read must be answered, or their buffers
-//! would never be free again. A pool therefore counts buffers beyond its capacity, but does not keep them.
+//! Reading stops when a pool is empty. Writing never does: requests that were read must be
+//! answered, or their buffers would never be free again. A pool therefore counts buffers beyond its
+//! capacity, but does not keep them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -32,7 +32,8 @@
     // The alias is the former name of the command, which scripts may still use.
     #[command(subcommand, alias = "memory")]
     Snapshot(SnapshotCommand),
-    /// Print the rollback verdicts in the log of an instance as a table; the exit code is 1 if there are none.
+    /// Print the rollback verdicts in the log of an instance as a table; the exit code is 1 if
+    /// there are none.
     Explain {
         /// The log file; standard input by default.
         log: Option<PathBuf>,
@@ -85,7 +86,8 @@
     },
 }
 
-/// Prints the rollback verdicts of a log, by default of standard input. The exit code is 1 if there are none.
+/// Prints the rollback verdicts of a log, by default of standard input. The exit code is 1 if there
+/// are none.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -30,7 +30,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Check the files; the exit code is 0 if there is a complete snapshot and no damaged file, else 1.
+    /// Check the files; the exit code is 0 if there is a complete snapshot and no damaged file,
+    /// else 1.
     Check {
         /// A directory of snapshots, or one file.
         path: PathBuf,
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -13,8 +13,9 @@
 //! | `responses` | sending responses |
 //! | `lifecycle` | time limits, idle connections, closing |
 //!
-//! Invariants: each connection in the table has a placement in the index of stages; the request that a connection waits
-//! for is pending and refers back to that connection; a response is written as a whole, followed by ReadyForQuery.
+//! Invariants: each connection in the table has a placement in the index of stages; the request
+//! that a connection waits for is pending and refers back to that connection; a response is written
+//! as a whole, followed by ReadyForQuery.
 
 mod accepting;
 pub mod arrivals;
@@ -47,8 +48,8 @@
 
 pub use pending_requests::PendingRequest;
 
-/// Under pressure, a connection is not closed before it has been in its stage for this long: its next message may be
-/// in transit.
+/// Under pressure, a connection is not closed before it has been in its stage for this long: its
+/// next message may be in transit.
 const MIN_STAGE_AGE: Duration = Duration::from_millis(100);
 
 /// How many connections clients may hold.
@@ -153,15 +154,16 @@
         self.requests.end_attempt(id);
     }
 
-    /// From now on connections close between requests; new ones are accepted until the accept period ends.
+    /// From now on connections close between requests; new ones are accepted until the accept
+    /// period ends.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
         self.pending
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
-    /// Nothing is pending for any client: all requests are answered and the responses written, no message is
-    /// incomplete or unread, and no connection waits to be accepted.
+    /// Nothing is pending for any client: all requests are answered and the responses written, no
+    /// message is incomplete or unread, and no connection waits to be accepted.
     pub fn is_idle(&self) -> bool {
         let is_pending = |client: &ClientConnection| match client.stage() {
             Stage::AwaitingResponse | Stage::Writing | Stage::ReceivingMessage => true,
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -26,7 +26,8 @@
     Ready,
     /// This iteration has accepted as many as it may; more may wait.
     BatchTaken,
-    /// The system could not accept a connection. The next iteration tries again, whenever it is run.
+    /// The system could not accept a connection. The next iteration tries again, whenever it is
+    /// run.
     Failed,
 }
 
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Accepts connections up to the limit. At the limit, connections without a request are closed to make room.
+    /// Accepts connections up to the limit. At the limit, connections without a request are closed
+    /// to make room.
     pub fn accept(&mut self, context: &mut EventContext<'_>) {
         if self.listener_state == ListenerState::Drained {
             return;
@@ -109,7 +111,8 @@
 
     fn first_to_evict(&self, context: &IoContext) -> Option<Placement> {
         let latest = context.now - MIN_STAGE_AGE;
-        // A connection that has received bytes since it was last served is served before it may be closed.
+        // A connection that has received bytes since it was last served is served before it may be
+        // closed.
         let has_sent_nothing = |placement: &Placement| {
             self.connections
                 .get(placement.connection)
--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -1,11 +1,12 @@
-//! When the bytes of a connection were received. The time of a request starts with its last byte, even while it waits
-//! behind another request of the same connection. No I/O.
+//! When the bytes of a connection were received. The time of a request starts with its last byte,
+//! even while it waits behind another request of the same connection. No I/O.
 
 use std::collections::VecDeque;
 
 use tidescale_policy::types::Timestamp;
 
-/// Most arrival times kept for one connection. More are needed only if a client sends a few bytes at a time.
+/// Most arrival times kept for one connection. More are needed only if a client sends a few bytes
+/// at a time.
 const MAX_MARKS: usize = 256;
 
 /// Bytes received until one time.
@@ -17,8 +18,8 @@
 
 /// Arrival times of the bytes that were received and not yet used.
 ///
-/// Marks are in the order of both bytes and time. Bytes received after the last possible mark count as received at that
-/// mark, so that the time of a request may start too early but never too late.
+/// Marks are in the order of both bytes and time. Bytes received after the last possible mark count
+/// as received at that mark, so that the time of a request may start too early but never too late.
 #[derive(Default)]
 pub struct Arrivals {
     marks: VecDeque<Mark>,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is unknown.
+    /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is
+    /// unknown.
     pub fn take(&mut self, count: usize, now: Timestamp) -> Timestamp {
         self.used += count as u64;
         while self
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -8,14 +8,14 @@
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, frame_head, whole_frame};
 
-/// Bytes read ahead while a request is pending. Also the most bytes of responses that may wait for a client that sends
-/// requests without reading.
+/// Bytes read ahead while a request is pending. Also the most bytes of responses that may wait for
+/// a client that sends requests without reading.
 const READ_AHEAD: usize = SIZE;
-/// Bytes read ahead while many buffers are free. The time of a request starts when it is read, so that reading early
-/// measures it more exactly.
+/// Bytes read ahead while many buffers are free. The time of a request starts when it is read, so
+/// that reading early measures it more exactly.
 const FAR_READ_AHEAD: usize = 16 * SIZE;
-/// Bytes discarded after an error without waiting for readiness. Closing a socket with unread input resets the
-/// connection, and the client could not read the error.
+/// Bytes discarded after an error without waiting for readiness. Closing a socket with unread input
+/// resets the connection, and the client could not read the error.
 const MAX_DISCARDED: usize = 256 * 1024;
 /// Bytes discarded in one event-loop iteration.
 const DISCARDED_PER_ITERATION: usize = MAX_DISCARDED / 4;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Shutdown may close it now: it is between requests, and was not accepted after SIGTERM for a first request.
+    /// Shutdown may close it now: it is between requests, and was not accepted after SIGTERM for a
+    /// first request.
     pub(super) fn is_done_at_shutdown(&self) -> bool {
         match self.stage() {
             Stage::Idle => true,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Whether its next message may be handled. The limit on output keeps the responses of a client that sends without
-    /// reading from piling up.
+    /// Whether its next message may be handled. The limit on output keeps the responses of a client
+    /// that sends without reading from piling up.
     pub(super) fn takes_messages(&self) -> bool {
         let is_awaiting = self.pending_request().is_some();
         !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD
@@ -128,8 +129,8 @@
         self.connection.has_more() || self.is_open() && next() != Ok(None)
     }
 
-    /// How many bytes of input are needed to handle the next message. Behind a pending request only the start of the
-    /// next message is read.
+    /// How many bytes of input are needed to handle the next message. Behind a pending request only
+    /// the start of the next message is read.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_ample() {
             FAR_READ_AHEAD
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one. Some clients send one
-    /// request and never close their connection; without this limit they would hold all descriptors.
+    /// Closes the connection that has been idle for longest. Returns whether there was one. Some
+    /// clients send one request and never close their connection; without this limit they would
+    /// hold all descriptors.
     fn close_longest_idle(&mut self, context: &mut EventContext<'_>) -> bool {
         let has_sent_nothing = |key: &ClientKey| {
             self.connections
@@ -89,8 +90,8 @@
             return context.io.deadlines.set(owner, deadline);
         }
         if placement.stage != Stage::Closing && !client.connection.is_silent() {
-            // Received bytes were not read, for lack of buffers or because of the limit on reads: they may hold a
-            // whole request.
+            // Received bytes were not read, for lack of buffers or because of the limit on reads:
+            // they may hold a whole request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             return context.io.deadlines.set(owner, retry_at);
         }
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Closes a connection; the policy learns that the client no longer waits for its pending request.
+    /// Closes a connection; the policy learns that the client no longer waits for its pending
+    /// request.
     pub(super) fn close(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         context.io.deadlines.clear(Owner::client(key));
         let Some(client) = self.connections.remove(key) else {
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -112,8 +112,8 @@
         Ok(MessageStep::Handled)
     }
 
-    /// Removes a message from the input and copies its body, which is at `range`. Returns when its last byte was
-    /// received.
+    /// Removes a message from the input and copies its body, which is at `range`. Returns when its
+    /// last byte was received.
     fn take_body(&mut self, range: Range<usize>, body: &mut Vec<u8>, now: Timestamp) -> Timestamp {
         let length = range.end;
         let input = &mut self.connection.input;
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -9,7 +9,8 @@
 use crate::ids::{ClientKey, EndpointConnectionKey};
 use crate::slots::Slots;
 
-/// A request, from its arrival until its client was answered or has disconnected and its last attempt has ended.
+/// A request, from its arrival until its client was answered or has disconnected and its last
+/// attempt has ended.
 pub struct PendingRequest {
     /// The client that waits for the response; none once it was answered or has disconnected.
     pub(super) client: Option<ClientKey>,
@@ -43,7 +44,8 @@
 }
 
 impl PendingRequests {
-    /// The table needs no limit of its own: each connection of a client has at most one unanswered request.
+    /// The table needs no limit of its own: each connection of a client has at most one unanswered
+    /// request.
     pub(super) fn new() -> PendingRequests {
         PendingRequests {
             requests: Slots::new(usize::MAX),
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Writes pending output. Continues if the connection is to be read. A disconnected client is not read, because it
-    /// reads no response either; the input of a closing connection is discarded.
+    /// Writes pending output. Continues if the connection is to be read. A disconnected client is
+    /// not read, because it reads no response either; the input of a closing connection is
+    /// discarded.
     fn flush_before_read(
         &mut self,
         key: ClientKey,
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -26,8 +26,8 @@
         });
     }
 
-    /// Tells the client that its request was not executed, and when it may retry unless that is less than a
-    /// millisecond.
+    /// Tells the client that its request was not executed, and when it may retry unless that is
+    /// less than a millisecond.
     pub fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
         let detail = if retry_after >= RETRY_AFTER_UNIT {
             retry_after.as_millis().to_string()
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -1,5 +1,5 @@
-//! What each connection waits for and since when, in the order in which connections are closed to free resources.
-//! No I/O.
+//! What each connection waits for and since when, in the order in which connections are closed to
+//! free resources. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +19,8 @@
 /// A client that reads nothing of its response for this long counts as disconnected.
 pub const WRITING_LIMIT: Duration = Duration::from_millis(10_000);
 
-/// What a connection waits for, in the order of eviction: connections in earlier stages are closed first.
+/// What a connection waits for, in the order of eviction: connections in earlier stages are closed
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// The client has to read an error before the connection closes.
@@ -65,9 +66,9 @@
 
 /// All connections by stage and time.
 ///
-/// Invariants: each connection has at most one placement, which is in both maps; `idle_count` is the number of
-/// placements in [`Stage::Idle`]. A placement is the stage recorded last, which may be older than the state of the
-/// connection.
+/// Invariants: each connection has at most one placement, which is in both maps; `idle_count` is
+/// the number of placements in [`Stage::Idle`]. A placement is the stage recorded last, which may
+/// be older than the state of the connection.
 #[derive(Default)]
 pub struct ConnectionsByStage {
     in_order: BTreeSet<Placement>,
@@ -76,8 +77,8 @@
 }
 
 impl ConnectionsByStage {
-    /// Records the stage of a connection. Returns whether it differs from the previous one; only then the time in the
-    /// stage starts at `now`.
+    /// Records the stage of a connection. Returns whether it differs from the previous one; only
+    /// then the time in the stage starts at `now`.
     pub fn record(&mut self, connection: ClientKey, stage: Stage, now: Timestamp) -> bool {
         if self
             .get(connection)
@@ -115,8 +116,9 @@
         self.idle_count
     }
 
-    /// Connections that may be closed for another one, the first to close first: those that close anyway, then those
-    /// without a pending request that have been in their stage since `latest` or longer.
+    /// Connections that may be closed for another one, the first to close first: those that close
+    /// anyway, then those without a pending request that have been in their stage since `latest` or
+    /// longer.
     pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = Placement> {
         self.in_order
             .iter()
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the proxy: Unix time at the start, advanced by the monotonic clock in whole microseconds. It does not
-//! jump when the time of the system is set.
+//! The clock of the proxy: Unix time at the start, advanced by the monotonic clock in whole
+//! microseconds. It does not jump when the time of the system is set.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration file that the platform writes. It is decoded at the start and again at each SIGHUP.
+//! The configuration file that the platform writes. It is decoded at the start and again at each
+//! SIGHUP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -142,8 +143,8 @@
     Ok(())
 }
 
-/// Flattens nested settings to pairs of path and text: fields as `a.b`; lists as `a.count`, `a.0`, … and, joined by
-/// commas, `a`.
+/// Flattens nested settings to pairs of path and text: fields as `a.b`; lists as `a.count`, `a.0`,
+/// … and, joined by commas, `a`.
 fn flatten_settings(settings: &Value) -> RawSettings {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,7 +1,8 @@
 //! A non-blocking socket with its input and output buffers.
 //!
-//! The event loop reports a socket only once when it becomes ready (edge triggered). A [`Connection`] therefore
-//! remembers that there may be more to read until a read has found nothing more.
+//! The event loop reports a socket only once when it becomes ready (edge triggered). A
+//! [`Connection`] therefore remembers that there may be more to read until a read has found nothing
+//! more.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -14,8 +15,8 @@
 use crate::buffers::{Chain, Fill, Pool};
 use crate::context::{Component, IoContext, Owner, ReadyEvents};
 
-/// The error code of Linux for a connect that continues in the background. The standard library has an error kind for
-/// it only on newer toolchains.
+/// The error code of Linux for a connect that continues in the background. The standard library has
+/// an error kind for it only on newer toolchains.
 const EINPROGRESS: i32 = 115;
 /// Bytes read by one system call when input is discarded.
 const DISCARD_SIZE: usize = 16 * 1024;
@@ -49,7 +50,8 @@
 }
 
 impl Connection {
-    /// Starts to connect. [`flush`](Connection::flush) writes nothing before the connection is established.
+    /// Starts to connect. [`flush`](Connection::flush) writes nothing before the connection is
+    /// established.
     ///
     /// # Errors
     /// The system has no socket left, or the address cannot be connected to.
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -1,5 +1,5 @@
-//! What the components of the proxy work with: the event loop, buffers, deadlines and the log, and the policy while
-//! events are delivered.
+//! What the components of the proxy work with: the event loop, buffers, deadlines and the log, and
+//! the policy while events are delivered.
 
 use std::io;
 use std::rc::Rc;
@@ -14,7 +14,8 @@
 use crate::deadlines::Deadlines;
 use crate::ids::{ClientKey, EndpointConnectionKey, SlotKey};
 
-/// The parts of the proxy that own sockets or deadlines. Deadlines at the same time are handled in this order.
+/// The parts of the proxy that own sockets or deadlines. Deadlines at the same time are handled in
+/// this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Component {
     /// The wake-up that the policy has requested.
@@ -83,8 +84,8 @@
     pub handle: LoopHandle<'static, ReadyEvents>,
     /// Buffers for input from endpoints and for all output.
     pub pool: Pool,
-    /// Buffers for input from clients. They are separate so that clients cannot keep the responses of endpoints from
-    /// being read.
+    /// Buffers for input from clients. They are separate so that clients cannot keep the responses
+    /// of endpoints from being read.
     pub clients_pool: Pool,
     /// Buffers for input from discovery and the platform.
     pub streams_pool: Pool,
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -41,8 +41,8 @@
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest deadline that has expired by `now`, and returns its owner. Of deadlines at the same time
-    /// the lowest owner comes first.
+    /// Removes the earliest deadline that has expired by `now`, and returns its owner. Of deadlines
+    /// at the same time the lowest owner comes first.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<Owner> {
         let (at, owner) = *self.by_time.first()?;
         if at > now {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, received over a persistent stream. Tracks its version and passes changes on to the policy and to
-//! the connections to endpoints.
+//! The endpoint list, received over a persistent stream. Tracks its version and passes changes on
+//! to the policy and to the connections to endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 
 /// Three intervals of the keep-alive lines that discovery sends while nothing changes.
 const SILENCE: Duration = Duration::from_millis(6000);
-/// One service for all instances accepts few calls a second and queues the others. A client that gives up early causes
-/// a retry storm: the service does its work in vain and is called again. An instance is held to what the service has
-/// sent 6 s after its stream fell silent.
+/// One service for all instances accepts few calls a second and queues the others. A client that
+/// gives up early causes a retry storm: the service does its work in vain and is called again. An
+/// instance is held to what the service has sent 6 s after its stream fell silent.
 const SHARED_SERVICE: StreamTimeouts = StreamTimeouts {
     silence: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
 };
-/// An agent on the host of this instance responds immediately and without cost. After a silence the instance is held
-/// immediately to everything that the agent knows: the start of a response and a backoff together have to stay below
-/// the grace period.
+/// An agent on the host of this instance responds immediately and without cost. After a silence the
+/// instance is held immediately to everything that the agent knows: the start of a response and a
+/// backoff together have to stay below the grace period.
 const LOCAL_AGENT: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
     max_backoff: Duration::from_millis(200),
@@ -65,8 +65,9 @@
 }
 
 impl ListProgress {
-    /// Whether a list is applied. During a hand-over between two streams, one of them may deliver older versions.
-    /// A complete list that is still older after the propagation time is accepted: discovery has restarted its count.
+    /// Whether a list is applied. During a hand-over between two streams, one of them may deliver
+    /// older versions. A complete list that is still older after the propagation time is accepted:
+    /// discovery has restarted its count.
     fn accepts(&self, list: &EndpointList, now: Timestamp) -> bool {
         let is_older = list.version < self.version;
         let has_settled = now >= self.changed_at + PROPAGATION_TIME;
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -29,7 +29,8 @@
 pub struct EndpointList {
     /// Increases with every change.
     pub version: u64,
-    /// It names all endpoints: those that it does not name have been removed. Otherwise those are unchanged.
+    /// It names all endpoints: those that it does not name have been removed. Otherwise those are
+    /// unchanged.
     #[serde(rename = "full")]
     pub is_complete: bool,
     /// The endpoints.
@@ -87,7 +88,8 @@
         }
     }
 
-    /// `None` for a start time of 0 or less: the process has run for longer than it takes to warm up.
+    /// `None` for a start time of 0 or less: the process has run for longer than it takes to warm
+    /// up.
     fn started_at(&self) -> Option<Timestamp> {
         let micros = (self.started_ms.max(0.0) * 1000.0) as u64;
         (micros > 0).then(|| Timestamp::from_micros(micros))
@@ -111,8 +113,9 @@
     }
 }
 
-/// Adds a line to the lines of a list received so far. Returns the list once it is complete, and clears `partial` then.
-/// A list may consist of many lines and is parsed once. An empty line is a keep-alive between lists.
+/// Adds a line to the lines of a list received so far. Returns the list once it is complete, and
+/// clears `partial` then. A list may consist of many lines and is parsed once. An empty line is a
+/// keep-alive between lists.
 ///
 /// # Errors
 ///
@@ -142,7 +145,8 @@
     Ok(Some(list))
 }
 
-/// Whether the text, which ends with this line, can be a complete object: each opened brace is closed.
+/// Whether the text, which ends with this line, can be a complete object: each opened brace is
+/// closed.
 fn ends_object(last_line: &str, text: &str) -> bool {
     // A cheap check first: most lines of a long list do not end with a brace.
     if !last_line.trim_end().ends_with('}') && text.starts_with('{') {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop. Each iteration waits for events, delivers them to the policy, carries out its decisions, and lets
-//! the snapshot writer collect a slice.
+//! The event loop. Each iteration waits for events, delivers them to the policy, carries out its
+//! decisions, and lets the snapshot writer collect a slice.
 
 use std::cell::RefCell;
 use std::io;
@@ -79,12 +79,14 @@
 }
 
 impl ProxyInstance {
-    /// Starts an instance and runs its first iteration. The configuration is read again from `config_path` at SIGHUP.
-    /// `listen` is called after signals have been set up: clients that connect from then on are always answered.
+    /// Starts an instance and runs its first iteration. The configuration is read again from
+    /// `config_path` at SIGHUP. `listen` is called after signals have been set up: clients that
+    /// connect from then on are always answered.
     ///
     /// # Errors
     ///
-    /// The system refuses an event queue, signals or the listening socket, or the limits are too low.
+    /// The system refuses an event queue, signals or the listening socket, or the limits are too
+    /// low.
     pub fn new(
         config: &Config,
         config_path: PathBuf,
@@ -123,8 +125,8 @@
         Ok(instance)
     }
 
-    /// Restores what an earlier process has learned, as far as it still counts, and writes snapshots from now on. Does
-    /// nothing if the operators' file names no folder for snapshots.
+    /// Restores what an earlier process has learned, as far as it still counts, and writes
+    /// snapshots from now on. Does nothing if the operators' file names no folder for snapshots.
     pub fn enable_snapshots(&mut self, operators: &Operators) {
         let Some(settings) = &operators.snapshot else {
             return;
--- a/crates/proxy/src/explain.rs
+++ b/crates/proxy/src/explain.rs
@@ -21,8 +21,8 @@
     "explanation",
 ];
 
-/// The message and the keys of the lines that one release logs for verdicts. All releases use the same keys for build,
-/// stage, test, score and bound.
+/// The message and the keys of the lines that one release logs for verdicts. All releases use the
+/// same keys for build, stage, test, score and bound.
 struct LineFormat {
     /// The message, up to the first value.
     message: &'static str,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1.1 client for discovery and the platform: encodes requests and decodes responses, complete ones and
-//! streams. No I/O.
+//! The HTTP/1.1 client for discovery and the platform: encodes requests and decodes responses,
+//! complete ones and streams. No I/O.
 
 use crate::buffers::Chain;
 
--- a/crates/proxy/src/ids.rs
+++ b/crates/proxy/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers of connections and streams, each with a type of its own so that they cannot be mixed up.
+//! Identifiers of connections and streams, each with a type of its own so that they cannot be mixed
+//! up.
 
 use tidescale_policy::types::RequestId;
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,9 @@
 //! The policy as a proxy on real sockets.
 //!
-//! [`event_loop`] runs the iterations. `proxy` owns all connections and passes events on to the component that they
-//! belong to: [`clients`], [`upstream`], [`discovery`], [`rollout_status`] and [`votes`]. The codecs ([`postgres`],
-//! [`http`]) and the tables ([`slots`], [`deadlines`], [`buffers`]) do no I/O. [`log_lines`] has all lines of the log.
+//! [`event_loop`] runs the iterations. `proxy` owns all connections and passes events on to the
+//! component that they belong to: [`clients`], [`upstream`], [`discovery`], [`rollout_status`] and
+//! [`votes`]. The codecs ([`postgres`], [`http`]) and the tables ([`slots`], [`deadlines`],
+//! [`buffers`]) do no I/O. [`log_lines`] has all lines of the log.
 
 pub mod buffers;
 pub mod cli;
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -5,7 +5,8 @@
 /// Larger counts are invalid: no endpoint can have as many requests.
 const MAX_COUNT: f64 = 1e6;
 
-/// Parses a load report: pairs of names and values, of which some are used. `None` if one of these is invalid.
+/// Parses a load report: pairs of names and values, of which some are used. `None` if one of these
+/// is invalid.
 pub fn parse(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/crates/proxy/src/log_lines.rs
+++ b/crates/proxy/src/log_lines.rs
@@ -1,5 +1,5 @@
-//! All lines of the log from level info up: one function for each, with a short event phrase as message and standard
-//! keys. `docs/on-call.md` explains them to operators.
+//! All lines of the log from level info up: one function for each, with a short event phrase as
+//! message and standard keys. `docs/on-call.md` explains them to operators.
 //!
 //! The rate limit of the log counts the lines of each function apart.
 
@@ -134,7 +134,8 @@
     info!(log, "endpoint connection failed"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// All descriptors for connections to endpoints are in use; the attempt or health check is not sent.
+/// All descriptors for connections to endpoints are in use; the attempt or health check is not
+/// sent.
 pub fn endpoint_connection_limit_reached(log: &Logger, endpoint: &str) {
     info!(log, "endpoint connection limit reached"; "endpoint" => endpoint);
 }
@@ -181,7 +182,8 @@
     info!(log, "client message timed out");
 }
 
-/// The buffers for clients are used up; the oldest incomplete message is refused and its connection closed.
+/// The buffers for clients are used up; the oldest incomplete message is refused and its connection
+/// closed.
 pub fn client_buffers_exhausted(log: &Logger) {
     info!(log, "client buffers exhausted");
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,6 +1,6 @@
-//! The log on standard error. Each place in the source may log only a few lines a second, so that repeated errors
-//! neither fill the log nor slow down the event loop. A line that standard error does not accept immediately is dropped
-//! and counted.
+//! The log on standard error. Each place in the source may log only a few lines a second, so that
+//! repeated errors neither fill the log nor slow down the event loop. A line that standard error
+//! does not accept immediately is dropped and counted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -37,8 +37,8 @@
 }
 
 impl RateLimiter {
-    /// Whether a line may be written now. Returns the number of suppressed lines of that place in the previous window,
-    /// or `None` if this line is suppressed.
+    /// Whether a line may be written now. Returns the number of suppressed lines of that place in
+    /// the previous window, or `None` if this line is suppressed.
     pub fn admit(&mut self, source: SourceLine, now: Instant) -> Option<u32> {
         let window = self.windows.entry(source).or_insert(Window {
             started: now,
@@ -96,7 +96,8 @@
     }
 }
 
-/// Whether a line can be written without blocking: a pipe that nobody reads would stall the whole proxy.
+/// Whether a line can be written without blocking: a pipe that nobody reads would stall the whole
+/// proxy.
 fn stderr_accepts_a_line() -> bool {
     let stderr = io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,5 @@
-//! `tidescale`: parses the command line and runs the command. A failure is one line on standard error.
+//! `tidescale`: parses the command line and runs the command. A failure is one line on standard
+//! error.
 
 use std::error::Error;
 use std::path::Path;
@@ -36,8 +37,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The parsed command line. If there is nothing to run, prints help or one line with the error, and returns the exit
-/// code.
+/// The parsed command line. If there is nothing to run, prints help or one line with the error, and
+/// returns the exit code.
 fn parse_arguments() -> Result<Cli, ExitCode> {
     Cli::try_parse().map_err(|error| {
         if !error.use_stderr() {
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' file: features of an installation that the platform does not configure. All are disabled by default.
+//! The operators' file: features of an installation that the platform does not configure. All are
+//! disabled by default.
 
 use std::fmt;
 use std::io;
--- a/crates/proxy/src/postgres.rs
+++ b/crates/proxy/src/postgres.rs
@@ -8,7 +8,8 @@
 //! | [`encoding`] | encoding the messages that the proxy sends |
 //! | [`sqlstate`] | error codes |
 //!
-//! Decoders accept any bytes without a panic. They refuse a message by its head if its kind or length is invalid.
+//! Decoders accept any bytes without a panic. They refuse a message by its head if its kind or
+//! length is invalid.
 
 pub mod encoding;
 pub mod framing;
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -1,4 +1,5 @@
-//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their server.
+//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their
+//! server.
 
 use std::ops::Range;
 use std::time::Duration;
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -1,6 +1,7 @@
 //! Finds the start, the end and the kind of each message.
 //!
-//! Each kind has a maximum length, so that a message that is too long is refused after its first five bytes.
+//! Each kind has a maximum length, so that a message that is too long is refused after its first
+//! five bytes.
 
 use super::ProtocolError;
 use crate::buffers::Chain;
--- a/crates/proxy/src/postgres/messages.rs
+++ b/crates/proxy/src/postgres/messages.rs
@@ -9,7 +9,8 @@
     Some((std::str::from_utf8(text).ok()?, rest.get(1..)?))
 }
 
-/// Whether a startup message names a user. Its body consists of pairs of texts, up to an empty name.
+/// Whether a startup message names a user. Its body consists of pairs of texts, up to an empty
+/// name.
 ///
 /// # Errors
 /// The pairs do not end where the message does.
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -1,4 +1,5 @@
-//! Parses the only form of statement that clients may send, with the properties of the request in its comment.
+//! Parses the only form of statement that clients may send, with the properties of the request in
+//! its comment.
 //!
 //! ```sql
 //! SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,7 +1,8 @@
-//! All components on sockets, and what they do in an event-loop iteration before the policy decides.
+//! All components on sockets, and what they do in an event-loop iteration before the policy
+//! decides.
 //!
-//! One thread owns everything. Within an iteration, the endpoint list and the rollout status are handled before
-//! endpoints and clients, because the decisions about the latter depend on them.
+//! One thread owns everything. Within an iteration, the endpoint list and the rollout status are
+//! handled before endpoints and clients, because the decisions about the latter depend on them.
 
 mod decisions;
 mod dispatch;
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Applies the endpoint list and the rollout status in the configuration, and opens the streams that deliver newer
-    /// ones.
+    /// Applies the endpoint list and the rollout status in the configuration, and opens the streams
+    /// that deliver newer ones.
     fn start(&mut self, config: &Config, policy: &mut Balancer) {
         let mut context = EventContext {
             io: &mut self.context,
@@ -186,14 +187,16 @@
         deadlines.set(SHUTDOWN_DEADLINE_TIMER, times.shutdown_deadline);
     }
 
-    /// Notifies the policy of attempts and votes that failed while its last decisions were carried out.
+    /// Notifies the policy of attempts and votes that failed while its last decisions were carried
+    /// out.
     fn notify_failed_starts(&mut self, policy: &mut Balancer) {
         self.upstream
             .notify_ended_exchanges(&mut self.clients, policy);
         self.votes.notify_failed_vote(policy);
     }
 
-    /// Records which sockets became ready. Returns the endpoints and votes to serve; clients are recorded as pending.
+    /// Records which sockets became ready. Returns the endpoints and votes to serve; clients are
+    /// recorded as pending.
     fn record_readiness(&mut self, events: &mut ReadyEvents) -> Vec<Owner> {
         let mut ready: Vec<Owner> = Vec::new();
         for (owner, readiness) in events.sockets.drain(..) {
@@ -207,7 +210,8 @@
 
     fn serve_control_and_endpoints(&mut self, ready: Vec<Owner>, policy: &mut Balancer) {
         let mut owners = ready;
-        // Streams are served in each iteration, because the last one may have left bytes unread for lack of buffers.
+        // Streams are served in each iteration, because the last one may have left bytes unread for
+        // lack of buffers.
         owners.push(Owner::only(Component::EndpointList));
         owners.push(Owner::only(Component::RolloutStatus));
         owners.extend(
--- a/crates/proxy/src/proxy/dispatch.rs
+++ b/crates/proxy/src/proxy/dispatch.rs
@@ -5,7 +5,7 @@
 
 use super::Proxy;
 use crate::context::{Component, EventContext, Owner};
-use crate::upstream::ExchangeContext;
+use crate::upstream::{ExchangeContext, Upstream};
 
 impl Proxy {
     /// A socket of the owner became ready.
@@ -24,12 +24,8 @@
     /// Reads from and writes to the sockets of the owner, and notifies the policy.
     pub(super) fn serve(&mut self, owner: Owner, policy: &mut Balancer) {
         if owner.component == Component::Endpoint {
-            let mut context = ExchangeContext {
-                io: &mut self.context,
-                clients: &mut self.clients,
-                policy,
-            };
-            return self.upstream.serve(owner.slot.into(), &mut context);
+            let key = owner.slot.into();
+            return self.with_upstream(policy, |upstream, context| upstream.serve(key, context));
         }
         let mut context = EventContext {
             io: &mut self.context,
@@ -48,12 +44,10 @@
     /// A deadline of the owner has expired.
     pub(super) fn on_deadline(&mut self, owner: Owner, policy: &mut Balancer) {
         if owner.component == Component::Endpoint {
-            let mut context = ExchangeContext {
-                io: &mut self.context,
-                clients: &mut self.clients,
-                policy,
-            };
-            return self.upstream.on_deadline(owner.slot.into(), &mut context);
+            let key = owner.slot.into();
+            return self.with_upstream(policy, |upstream, context| {
+                upstream.on_deadline(key, context);
+            });
         }
         let mut context = EventContext {
             io: &mut self.context,
@@ -70,16 +64,14 @@
         }
     }
 
-    /// Closes the connection of the owner, or opens its stream again, after its handler has panicked.
+    /// Closes the connection of the owner, or opens its stream again, after its handler has
+    /// panicked.
     pub(super) fn reset_after_panic(&mut self, owner: Owner, policy: &mut Balancer) {
         if owner.component == Component::Endpoint {
-            let mut context = ExchangeContext {
-                io: &mut self.context,
-                clients: &mut self.clients,
-                policy,
-            };
             let key = owner.slot.into();
-            return self.upstream.close_after_panic(key, &mut context);
+            return self.with_upstream(policy, |upstream, context| {
+                upstream.close_after_panic(key, context);
+            });
         }
         let mut context = EventContext {
             io: &mut self.context,
@@ -97,4 +89,18 @@
             }
         }
     }
+
+    /// Runs a handler of the connections to endpoints.
+    fn with_upstream(
+        &mut self,
+        policy: &mut Balancer,
+        handler: impl FnOnce(&mut Upstream, &mut ExchangeContext<'_>),
+    ) {
+        let mut context = ExchangeContext {
+            io: &mut self.context,
+            clients: &mut self.clients,
+            policy,
+        };
+        handler(&mut self.upstream, &mut context);
+    }
 }
--- a/crates/proxy/src/proxy/panic_isolation.rs
+++ b/crates/proxy/src/proxy/panic_isolation.rs
@@ -1,4 +1,5 @@
-//! The one place where panics are caught: a panic closes the connection whose handler panicked, and nothing else.
+//! The one place where panics are caught: a panic closes the connection whose handler panicked, and
+//! nothing else.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,7 +1,7 @@
 //! SIGHUP: reads the configuration again and moves the control streams to its addresses.
 //!
-//! Only addresses change; the endpoint list and the rollout status are kept. An invalid configuration changes
-//! nothing.
+//! Only addresses change; the endpoint list and the rollout status are kept. An invalid
+//! configuration changes nothing.
 
 use std::path::Path;
 
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -4,17 +4,20 @@
 
 /// Descriptors for standard streams, the event loop and the listener, and some spare ones.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors for the streams of the endpoint list and the rollout status and the connection for votes, twice each for
-/// a hand-over.
+/// Descriptors for the streams of the endpoint list and the rollout status and the connection for
+/// votes, twice each for a hand-over.
 const CONTROL_DESCRIPTORS: usize = 6;
-/// Endpoints get one in this number of the remaining descriptors. Clients use at most a third of all descriptors for
-/// requests; the rest of their half is for clients that have to be sent an error before they are closed.
+/// Endpoints get one in this number of the remaining descriptors. Clients use at most a third of
+/// all descriptors for requests; the rest of their half is for clients that have to be sent an
+/// error before they are closed.
 const ENDPOINT_SHARE: usize = 2;
-/// Idle clients may hold one in this number of all descriptors: less than half of those that clients use for requests.
+/// Idle clients may hold one in this number of all descriptors: less than half of those that
+/// clients use for requests.
 const IDLE_CLIENT_SHARE: usize = 8;
 /// Buffers may use one in this number of the bytes of memory.
 const BUFFER_SHARE: usize = 3;
-/// Buffers for input from discovery and the platform; of the rest, half is for clients and half for endpoints.
+/// Buffers for input from discovery and the platform; of the rest, half is for clients and half for
+/// endpoints.
 const CONTROL_BUFFERS: usize = 64;
 
 /// Most connections of each kind at a time.
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -1,4 +1,5 @@
-//! The rollout status of the newest build, received as a persistent stream of events from the platform.
+//! The rollout status of the newest build, received as a persistent stream of events from the
+//! platform.
 
 mod event;
 
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -1,5 +1,5 @@
-//! The platform's events, in the format of server-sent events, and the rollout status in all of its formats: the data
-//! of an event, the response to a vote, the configuration. No I/O.
+//! The platform's events, in the format of server-sent events, and the rollout status in all of its
+//! formats: the data of an event, the response to a vote, the configuration. No I/O.
 
 use std::time::Duration;
 
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! The states of a shutdown after SIGTERM: running, draining until a deadline, finished. No I/O.
 //!
-//! While it drains, the proxy accepts clients for a while, answers all requests, and exits once nothing is pending or at
-//! the deadline. It never returns to an earlier state.
+//! While it drains, the proxy accepts clients for a while, answers all requests, and exits once
+//! nothing is pending or at the deadline. It never returns to an earlier state.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 
 /// Time after SIGTERM in which clients may still connect, and their requests are answered.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// SIGKILL follows after the accept period and the longest time limit of a request, of which at most this counts.
+/// SIGKILL follows after the accept period and the longest time limit of a request, of which at
+/// most this counts.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
 /// Responses have to be sent this long before SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
@@ -82,7 +83,8 @@
         Some(times)
     }
 
-    /// What to do now. `is_idle` returns whether nothing is pending; it is called only after the accept period.
+    /// What to do now. `is_idle` returns whether nothing is pending; it is called only after the
+    /// accept period.
     pub fn step(&mut self, now: Timestamp, is_idle: impl FnOnce() -> bool) -> ShutdownStep {
         let State::Draining { times, was_idle } = &mut self.state else {
             return match self.state {
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -1,7 +1,7 @@
 //! Bounded tables of entries, each identified by a key of the table's own type.
 //!
-//! A key includes the generation of its slot: once its entry has been removed, the key finds nothing, even if the slot
-//! is in use again.
+//! A key includes the generation of its slot: once its entry has been removed, the key finds
+//! nothing, even if the slot is in use again.
 
 use std::marker::PhantomData;
 
@@ -44,8 +44,8 @@
         self.table.len()
     }
 
-    /// Inserts the entry that `make` creates from its key. Returns the key, the error of `make`, or `None` if the
-    /// table is full.
+    /// Inserts the entry that `make` creates from its key. Returns the key, the error of `make`, or
+    /// `None` if the table is full.
     pub fn insert<E>(&mut self, make: impl FnOnce(Key) -> Result<T, E>) -> Option<Result<Key, E>> {
         if self.is_full() {
             return None;
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,5 +1,6 @@
-//! Writes snapshots of what the policy has learned. Records are collected in slices between iterations of the event
-//! loop. A separate thread encodes and writes them, because a disk may stall.
+//! Writes snapshots of what the policy has learned. Records are collected in slices between
+//! iterations of the event loop. A separate thread encodes and writes them, because a disk may
+//! stall.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -8,8 +9,8 @@
 //! | `restore` | restores the records of a snapshot that still count |
 //! | `directory` | what the proxy knows of endpoints besides the policy |
 //!
-//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no longer than
-//! configured; at most one snapshot waits for the thread.
+//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no
+//! longer than configured; at most one snapshot waits for the thread.
 
 mod background;
 mod collector;
@@ -53,8 +54,9 @@
 }
 
 impl SnapshotWriter {
-    /// Locks the directory and starts the thread. Returns the writer and the newest complete snapshot. Returns `None`
-    /// if the directory cannot be used: that is logged, and the instance serves without snapshots.
+    /// Locks the directory and starts the thread. Returns the writer and the newest complete
+    /// snapshot. Returns `None` if the directory cannot be used: that is logged, and the instance
+    /// serves without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
@@ -125,7 +127,8 @@
         self.scheduler.next_wake_up(now)
     }
 
-    /// Writes the final snapshot, after all clients have their responses. Waits no longer than configured.
+    /// Writes the final snapshot, after all clients have their responses. Waits no longer than
+    /// configured.
     pub fn write_final(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -152,8 +155,8 @@
         log_lines::final_snapshot_written(&self.log, self.longest_slice);
     }
 
-    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots do not pile up in
-    /// memory while the disk stalls.
+    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots
+    /// do not pile up in memory while the disk stalls.
     fn submit(&mut self, records: Vec<Record>, now: Timestamp) {
         let write = PendingWrite {
             written_at: now,
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -13,8 +13,8 @@
 
 /// Most snapshots waiting for the thread. One is enough, because each snapshot is complete.
 const MAX_WAITING: usize = 1;
-/// Most results waiting for the event loop: one for the snapshot being written and one for the waiting one, so that the
-/// thread never waits for the event loop.
+/// Most results waiting for the event loop: one for the snapshot being written and one for the
+/// waiting one, so that the thread never waits for the event loop.
 const MAX_RESULTS: usize = 2;
 
 /// A snapshot for the thread to write.
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -49,8 +49,8 @@
 }
 
 impl Collection {
-    /// Collects some endpoints or outcomes, or all other records. Returns the records of the snapshot once they are
-    /// complete.
+    /// Collects some endpoints or outcomes, or all other records. Returns the records of the
+    /// snapshot once they are complete.
     pub(super) fn collect_slice(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -76,7 +76,8 @@
             Cursor::Rest => {
                 policy.save_rest(&mut sink);
                 self.cursor = Cursor::START;
-                // The file is cut at its maximum length: the records collected last are the most important ones.
+                // The file is cut at its maximum length: the records collected last are the most
+                // important ones.
                 self.records.reverse();
                 Some(std::mem::take(&mut self.records))
             }
--- a/crates/proxy/src/snapshot_writer/directory.rs
+++ b/crates/proxy/src/snapshot_writer/directory.rs
@@ -1,4 +1,5 @@
-//! What the proxy knows of endpoints besides the policy: their addresses, and the age of the endpoint list.
+//! What the proxy knows of endpoints besides the policy: their addresses, and the age of the
+//! endpoint list.
 
 use tidescale_policy::types::Timestamp;
 use tidescale_snapshot::records::Process;
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -11,7 +11,8 @@
 
 /// Restores the records of the snapshot that still count to the policy, and returns their number.
 ///
-/// Records are checked against the endpoint list and the rollout status, which the policy must know already.
+/// Records are checked against the endpoint list and the rollout status, which the policy must know
+/// already.
 pub fn restore(
     snapshot: &Snapshot,
     directory: &EndpointDirectory<'_>,
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -42,8 +42,8 @@
     EventLoop(#[from] EventLoopError),
 }
 
-/// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`. Without an operators'
-/// file, all its features are disabled.
+/// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`.
+/// Without an operators' file, all its features are disabled.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,8 +1,8 @@
 //! HTTP responses without an end, read line by line.
 //!
-//! [`ReconnectingStream`] is one such response; it is opened again, after a backoff, when it ends or falls silent.
-//! [`PersistentStream`] is a sequence of them: on a change of address and at regular intervals, a new stream replaces
-//! the current one without a gap.
+//! [`ReconnectingStream`] is one such response; it is opened again, after a backoff, when it ends
+//! or falls silent. [`PersistentStream`] is a sequence of them: on a change of address and at
+//! regular intervals, a new stream replaces the current one without a gap.
 
 mod backoff;
 mod persistent;
@@ -64,8 +64,8 @@
     pub response_start: Duration,
     /// The longest backoff before the stream is opened again; jitter at most doubles it.
     pub max_backoff: Duration,
-    /// How often a working stream is replaced by a new one; `None` for a server that all instances share, where each
-    /// call is expensive.
+    /// How often a working stream is replaced by a new one; `None` for a server that all instances
+    /// share, where each call is expensive.
     pub renewal_interval: Option<Duration>,
 }
 
--- a/crates/proxy/src/stream/backoff.rs
+++ b/crates/proxy/src/stream/backoff.rs
@@ -1,5 +1,5 @@
-//! Exponential backoff with jitter. Without jitter, instances whose streams end at the same time would reconnect at the
-//! same time (thundering herd) and be refused again.
+//! Exponential backoff with jitter. Without jitter, instances whose streams end at the same time
+//! would reconnect at the same time (thundering herd) and be refused again.
 
 use std::time::Duration;
 
@@ -25,7 +25,8 @@
         }
     }
 
-    /// The pause before the next attempt to connect; jitter lengthens it by a random factor of up to 2.
+    /// The pause before the next attempt to connect; jitter lengthens it by a random factor of up
+    /// to 2.
     pub(super) fn next_pause(&mut self) -> Duration {
         let factor = f64::from(1.0 + self.jitter.rand_float());
         let micros = whole_micros(self.pause) as f64 * factor;
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -1,5 +1,6 @@
-//! A stream without gaps. When its address changes or it is due for renewal, a second stream is opened. The current one
-//! is closed only after the new one has delivered something, so that nothing is missed in between.
+//! A stream without gaps. When its address changes or it is due for renewal, a second stream is
+//! opened. The current one is closed only after the new one has delivered something, so that
+//! nothing is missed in between.
 
 use std::net::SocketAddr;
 
@@ -12,7 +13,8 @@
 /// The slot of the deadline for renewal; the slots of streams count from 0.
 const RENEWAL_SLOT: SlotKey = SlotKey::new(u64::MAX);
 
-/// The current stream and, during a hand-over, the previous one. Each new stream gets the next slot.
+/// The current stream and, during a hand-over, the previous one. Each new stream gets the next
+/// slot.
 pub struct PersistentStream {
     current: ReconnectingStream,
     previous: Option<ReconnectingStream>,
@@ -63,8 +65,8 @@
         true
     }
 
-    /// Replaces the current stream by a new one. Of the two others, the one that has delivered something continues: the
-    /// current one if it has, else the previous one.
+    /// Replaces the current stream by a new one. Of the two others, the one that has delivered
+    /// something continues: the current one if it has, else the previous one.
     fn replace_current(&mut self, address: SocketAddr, context: &mut IoContext) {
         let Owner { component, slot } = self.current.owner();
         let next = ReconnectingStream::new(
@@ -88,8 +90,8 @@
         }
     }
 
-    /// The deadline of a slot has expired. Returns whether the current stream has to be opened now; a previous one is
-    /// never opened again.
+    /// The deadline of a slot has expired. Returns whether the current stream has to be opened now;
+    /// a previous one is never opened again.
     pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) -> bool {
         if slot == self.current.owner().slot {
             return self.current.on_deadline(context);
@@ -107,8 +109,9 @@
             self.replace_current(self.current.address(), context);
             return true;
         }
-        // The stream has delivered nothing for a whole interval, not even a keep-alive. Waiting for its silence to end
-        // it takes longer than the time after which this instance is held to the changes that it misses.
+        // The stream has delivered nothing for a whole interval, not even a keep-alive. Waiting for
+        // its silence to end it takes longer than the time after which this instance is held to the
+        // changes that it misses.
         if self.current.is_responding() {
             self.current
                 .close_for_now(&StreamError::NothingDelivered, context);
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Delivers the complete lines received, those of the previous stream first; see [`ReconnectingStream::serve`].
+    /// Delivers the complete lines received, those of the previous stream first; see
+    /// [`ReconnectingStream::serve`].
     pub fn serve(
         &mut self,
         context: &mut IoContext,
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -1,4 +1,5 @@
-//! One HTTP response without an end; it is opened again, after a backoff, when it ends or falls silent.
+//! One HTTP response without an end; it is opened again, after a backoff, when it ends or falls
+//! silent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +15,8 @@
 use crate::http;
 use crate::log_lines;
 
-/// Time limit for the rest of a message. A server that stops within a message may still send keep-alives.
+/// Time limit for the rest of a message. A server that stops within a message may still send
+/// keep-alives.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Bytes read before they are handled.
 const READ_AHEAD: usize = 256 * 1024;
@@ -85,7 +87,8 @@
 }
 
 impl ReconnectingStream {
-    /// A stream that is not open yet. Streams with the same seed have different jitter if their owners differ.
+    /// A stream that is not open yet. Streams with the same seed have different jitter if their
+    /// owners differ.
     pub fn new(
         owner: Owner,
         address: SocketAddr,
@@ -156,8 +159,8 @@
         context.deadlines.set(self.owner, context.now + pause);
     }
 
-    /// Its deadline has expired: it has been silent for too long, or its backoff has ended. Returns whether it has to be
-    /// opened now.
+    /// Its deadline has expired: it has been silent for too long, or its backoff has ended. Returns
+    /// whether it has to be opened now.
     pub fn on_deadline(&mut self, context: &mut IoContext) -> bool {
         match self.state {
             State::Open(_) => {
@@ -175,10 +178,11 @@
         }
     }
 
-    /// Delivers the complete lines received; bytes that were not read for lack of buffers are left to the next call.
+    /// Delivers the complete lines received; bytes that were not read for lack of buffers are left
+    /// to the next call.
     ///
-    /// `on_line` gets the line, the lines of an incomplete message that it has kept, and the context. It clears the
-    /// second when the message is complete.
+    /// `on_line` gets the line, the lines of an incomplete message that it has kept, and the
+    /// context. It clears the second when the message is complete.
     pub fn serve(
         &mut self,
         context: &mut IoContext,
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -10,8 +10,8 @@
 //! | `ending` | ending exchanges and notifying clients and the policy |
 //! | [`outcomes`] | how an exchange can end without a valid response |
 //!
-//! Invariants: a connection in the `idle` list of an endpoint is in the table and carries no exchange; the policy is
-//! notified exactly once of the end of each exchange.
+//! Invariants: a connection in the `idle` list of an endpoint is in the table and carries no
+//! exchange; the policy is notified exactly once of the end of each exchange.
 
 mod connection;
 mod ending;
@@ -83,12 +83,13 @@
 struct Endpoint {
     process: Option<ProcessIdentity>,
     is_ready: bool,
-    /// The connection that was used last is used first, so that surplus connections stay idle until they expire.
+    /// The connection that was used last is used first, so that surplus connections stay idle until
+    /// they expire.
     idle: Vec<EndpointConnectionKey>,
 }
 
-/// What the handling of a connection to an endpoint works with: I/O, the clients that wait for responses, and the
-/// policy to notify.
+/// What the handling of a connection to an endpoint works with: I/O, the clients that wait for
+/// responses, and the policy to notify.
 pub struct ExchangeContext<'a> {
     /// The shared resources for I/O.
     pub io: &'a mut IoContext,
@@ -103,7 +104,8 @@
     endpoints: BTreeMap<String, Endpoint>,
     connections: Slots<EndpointConnection, EndpointConnectionKey>,
     settings: ConnectionSettings,
-    /// Exchanges that ended outside the handling of events; the policy is notified in the next iteration.
+    /// Exchanges that ended outside the handling of events; the policy is notified in the next
+    /// iteration.
     ended: Vec<EndedExchange>,
     /// Connections with more to read than was read in this iteration.
     pending: Vec<EndpointConnectionKey>,
@@ -129,8 +131,9 @@
         !self.ended.is_empty() || !self.pending.is_empty() && !context.pool.is_empty()
     }
 
-    /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts, its idle connections
-    /// are closed. So are those that are being established: their attempts end as not sent.
+    /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
+    /// its idle connections are closed. So are those that are being established: their attempts end
+    /// as not sent.
     pub fn update_endpoint(
         &mut self,
         name: &str,
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -21,7 +21,8 @@
     },
     /// It carries an attempt or a health check.
     Busy(Exchange),
-    /// The response was received, or none is awaited any more; the endpoint has to send ReadyForQuery.
+    /// The response was received, or none is awaited any more; the endpoint has to send
+    /// ReadyForQuery.
     Draining,
     /// It is kept for another exchange.
     Idle,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The earlier one of a deadline and the one for establishing the connection, while that is in progress.
+    /// The earlier one of a deadline and the one for establishing the connection, while that is in
+    /// progress.
     pub(super) fn limit_by_connect_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.connect_deadline()
             .map_or(deadline, |at| at.min(deadline))
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Ends an exchange that the endpoint has answered. The connection then waits for ReadyForQuery.
+    /// Ends an exchange that the endpoint has answered. The connection then waits for
+    /// ReadyForQuery.
     pub(super) fn finish_answered(
         &mut self,
         key: EndpointConnectionKey,
@@ -99,7 +100,8 @@
     }
 }
 
-/// A reused connection was lost with a written request that was not answered at all: it may have been dead before.
+/// A reused connection was lost with a written request that was not answered at all: it may have
+/// been dead before.
 fn is_stale(connection: &EndpointConnection, cause: &AttemptErrorCause) -> bool {
     let is_unanswered = connection.exchange().is_some_and(Exchange::is_unanswered);
     let is_connection_lost = matches!(
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -57,8 +57,8 @@
     pub(super) answer: Chain,
     /// The part of the response that has to come next.
     pub(super) next_part: EndpointMessage,
-    /// How it ended. It is kept until all available input has been read, because the load report may follow the
-    /// response.
+    /// How it ended. It is kept until all available input has been read, because the load report
+    /// may follow the response.
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -1,4 +1,5 @@
-//! How attempts and health checks end without a valid response, and what follows for the request. No I/O.
+//! How attempts and health checks end without a valid response, and what follows for the request.
+//! No I/O.
 
 use std::fmt;
 use std::io;
@@ -81,7 +82,8 @@
 }
 
 impl AttemptError {
-    /// The outcome for the policy. Only a request that was written completely may have been executed.
+    /// The outcome for the policy. Only a request that was written completely may have been
+    /// executed.
     pub fn outcome(&self) -> AttemptOutcome {
         match (self.progress, &self.cause) {
             (_, AttemptErrorCause::Cancelled) => AttemptOutcome::Cancelled,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -13,11 +13,12 @@
 use crate::ids::EndpointConnectionKey;
 use crate::postgres;
 
-/// For this long after a reused connection was lost with an unanswered request, requests that must not be executed
-/// twice use new connections.
+/// For this long after a reused connection was lost with an unanswered request, requests that must
+/// not be executed twice use new connections.
 const STALE_PERIOD: Duration = Duration::from_millis(10_000);
-/// An endpoint may send a response twice, some milliseconds apart; the duplicate would be taken for the response to the
-/// next request. A connection is therefore idle for at least this long before it is reused.
+/// An endpoint may send a response twice, some milliseconds apart; the duplicate would be taken for
+/// the response to the next request. A connection is therefore idle for at least this long before
+/// it is reused.
 const SETTLING_TIME: Duration = Duration::from_millis(20);
 
 /// Which connection an exchange may use.
@@ -30,7 +31,8 @@
 }
 
 impl Upstream {
-    /// A reused connection may already be dead. A request written to it is lost, and may have been executed.
+    /// A reused connection may already be dead. A request written to it is lost, and may have been
+    /// executed.
     pub(super) fn connection_choice(
         &self,
         is_repeatable: bool,
@@ -44,7 +46,8 @@
         }
     }
 
-    /// A connection that can carry an exchange, now or once it is established; `None` if all descriptors are in use.
+    /// A connection that can carry an exchange, now or once it is established; `None` if all
+    /// descriptors are in use.
     ///
     /// # Errors
     /// The endpoint is not listed, or connecting fails immediately.
@@ -69,7 +72,8 @@
         self.open(name, process, context)
     }
 
-    /// Takes the usable idle connection that was used last; connections that are not usable are closed.
+    /// Takes the usable idle connection that was used last; connections that are not usable are
+    /// closed.
     fn reuse_idle(&mut self, name: &str, context: &mut IoContext) -> Option<EndpointConnectionKey> {
         let idle = &self.endpoints.get(name)?.idle;
         let settled: Vec<EndpointConnectionKey> = idle
@@ -79,7 +83,8 @@
             .copied()
             .collect();
         for key in settled {
-            // If the endpoint has closed it meanwhile, a request would look as if it might have been executed.
+            // If the endpoint has closed it meanwhile, a request would look as if it might have
+            // been executed.
             let is_quiet = self
                 .connections
                 .get(key)
@@ -117,7 +122,8 @@
         }
     }
 
-    /// Closes the least recently used connection without an exchange. Returns whether there was one.
+    /// Closes the least recently used connection without an exchange. Returns whether there was
+    /// one.
     fn make_room(&mut self, context: &mut IoContext) -> bool {
         let least_recently_used = self
             .connections
@@ -175,7 +181,8 @@
         connection.state = ConnectionState::Idle;
         connection.last_used_at = context.now;
         connection.is_reused = true;
-        // Well before the endpoint closes it: a request that crosses with the close may have been executed.
+        // Well before the endpoint closes it: a request that crosses with the close may have been
+        // executed.
         let close_at = context.now + self.settings.idle_timeout / 2;
         set_deadline(key, close_at, context);
     }
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Keeps a connection whose endpoint accepts another query, unless more was received than one response.
+    /// Keeps a connection whose endpoint accepts another query, unless more was received than one
+    /// response.
     fn release(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         let has_more = self
             .connections
@@ -144,7 +145,8 @@
         Ok(())
     }
 
-    /// The endpoint accepts a query: that of the exchange for which the connection was opened, or another one.
+    /// The endpoint accepts a query: that of the exchange for which the connection was opened, or
+    /// another one.
     fn on_ready_for_query(
         &mut self,
         key: EndpointConnectionKey,
@@ -196,7 +198,8 @@
     }
 }
 
-/// Records an error response. While connecting, it means that the endpoint has refused the connection.
+/// Records an error response. While connecting, it means that the endpoint has refused the
+/// connection.
 fn take_error(
     connection: &mut EndpointConnection,
     body: &[u8],
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Appends the request of a connection that can carry it to its output. Returns `None` if the connection or the
-    /// request does not exist any more.
+    /// Appends the request of a connection that can carry it to its output. Returns `None` if the
+    /// connection or the request does not exist any more.
     fn put_request(
         &mut self,
         key: EndpointConnectionKey,
@@ -133,7 +133,8 @@
         Some(())
     }
 
-    /// Cancels an attempt. As for any other attempt, the policy is notified of its end in the next iteration.
+    /// Cancels an attempt. As for any other attempt, the policy is notified of its end in the next
+    /// iteration.
     pub fn cancel_attempt(
         &mut self,
         id: AttemptId,
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -1,7 +1,8 @@
-//! Votes on the build under evaluation: calls to the platform, one at a time, over a connection of their own.
+//! Votes on the build under evaluation: calls to the platform, one at a time, over a connection of
+//! their own.
 //!
-//! The policy is notified exactly once of the result of each vote. A vote that was written completely may count even
-//! without a response.
+//! The policy is notified exactly once of the result of each vote. A vote that was written
+//! completely may count even without a response.
 
 mod wire;
 
@@ -105,7 +106,8 @@
         matches!(self.state, State::NotSent)
     }
 
-    /// The next vote goes to this address; the response to the current one still comes from where it was sent.
+    /// The next vote goes to this address; the response to the current one still comes from where
+    /// it was sent.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) {
         let is_new = address != self.address;
         self.address = address;
@@ -219,8 +221,8 @@
     }
 }
 
-/// Notifies the policy of the response to a vote. Returns whether the response was valid; after an invalid one, the
-/// next input of the connection could be the rest of it.
+/// Notifies the policy of the response to a vote. Returns whether the response was valid; after an
+/// invalid one, the next input of the connection could be the rest of it.
 fn apply_response(response: &http::Response, context: &mut EventContext<'_>) -> bool {
     let Some(parsed) = parse_response(response.status, &response.body) else {
         log_lines::invalid_vote_response(&context.io.log, response.status);
--- a/crates/proxy/tests/log_lines/main.rs
+++ b/crates/proxy/tests/log_lines/main.rs
@@ -1,4 +1,5 @@
-//! The messages and keys of all log lines, which operators filter by, and how `tidescale explain` reads verdicts.
+//! The messages and keys of all log lines, which operators filter by, and how `tidescale explain`
+//! reads verdicts.
 
 mod capture;
 mod explain;
--- a/crates/proxy/tests/loopback/log.rs
+++ b/crates/proxy/tests/loopback/log.rs
@@ -1,4 +1,5 @@
-//! The log of a running proxy: which line each event leaves, and what `tidescale explain` makes of it.
+//! The log of a running proxy: which line each event leaves, and what `tidescale explain` makes of
+//! it.
 
 use std::fs::File;
 use std::thread;
