--- a/crates/proxy/src/clients/serving.rs
+++ b/crates/proxy/src/clients/serving.rs
@@ -355,6 +355,30 @@
         self.settle(key, context, policy);
     }
 
+    /// Closes the connection of the client that awaits this request's response if the client has disconnected, whether
+    /// or not the event loop has reported that.
+    pub fn close_if_disconnected(
+        &mut self,
+        request: u64,
+        context: &mut IoContext,
+        policy: &mut Balancer,
+    ) {
+        let awaiting = self
+            .requests
+            .get_mut(request)
+            .and_then(|pending| pending.client);
+        let Some(key) = awaiting else {
+            return;
+        };
+        let is_disconnected = self
+            .connections
+            .get(key)
+            .is_some_and(|client| client.connection.has_hung_up());
+        if is_disconnected {
+            self.close(key, context, policy);
+        }
+    }
+
     pub(super) fn close(&mut self, key: u64, context: &mut IoContext, policy: &mut Balancer) {
         context.deadlines.clear(Owner::new(Component::Client, key));
         let Some(client) = self.connections.remove(key) else {
--- a/crates/proxy/src/upstream/answers.rs
+++ b/crates/proxy/src/upstream/answers.rs
@@ -149,11 +149,14 @@
                 request,
                 attempt_index,
             } = exchange.job
-            && !policy.may_write_attempt(request, attempt_index)
         {
-            exchange.outcome = Some(AttemptOutcome::NotSent);
-            debug!(context.log, "an attempt that may not be sent any more"; "endpoint" => &connection.endpoint);
-            return Ok(true);
+            // Clients are served after endpoints, so that this one's disconnect may not have been handled yet.
+            clients.close_if_disconnected(request, context, policy);
+            if !policy.may_write_attempt(request, attempt_index) {
+                exchange.outcome = Some(AttemptOutcome::NotSent);
+                debug!(context.log, "an attempt that may not be sent any more"; "endpoint" => &connection.endpoint);
+                return Ok(true);
+            }
         }
         let deadline = connection
             .exchange()
--- a/crates/proxy/tests/loopback/common.rs
+++ b/crates/proxy/tests/loopback/common.rs
@@ -6,6 +6,7 @@
 mod manual;
 mod protocol;
 mod servers;
+mod system;
 
 use std::time::Duration;
 
--- a/crates/proxy/tests/loopback/common/client.rs
+++ b/crates/proxy/tests/loopback/common/client.rs
@@ -7,6 +7,7 @@
 
 use super::TEST_TIMEOUT;
 use super::protocol::{next, query, startup};
+use super::system::wait_until_end_has_arrived;
 
 /// A client, with what it has read beyond the last message.
 pub struct Client(pub TcpStream, pub Vec<u8>);
@@ -42,10 +43,22 @@
         tags.push('.');
         (tags, value)
     }
+    /// Closes the connection and waits until the proxy could know that: a process that another test is just starting may
+    /// hold a copy of the socket, which keeps the connection open.
+    pub fn disconnect(self) {
+        let [local, remote] = [self.0.local_addr(), self.0.peer_addr()].map(Result::unwrap);
+        drop(self);
+        wait_until_end_has_arrived(local, remote);
+    }
     pub fn ended(&mut self) -> bool {
-        match self.0.read(&mut [0; 16]) {
-            Ok(n) => n == 0,
-            Err(e) => e.kind() == ErrorKind::ConnectionReset,
+        let mut bytes = [0; 16];
+        match self.0.read(&mut bytes) {
+            Ok(0) => true,
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => true,
+            other => {
+                eprintln!("no end of the connection: {other:?}, {bytes:?}");
+                false
+            }
         }
     }
 }
--- a/crates/proxy/tests/loopback/common/instance.rs
+++ b/crates/proxy/tests/loopback/common/instance.rs
@@ -13,6 +13,7 @@
 use tidescale_proxy::{config, event_loop};
 
 use super::TEST_TIMEOUT;
+use super::system::wait_until_stopped;
 
 /// A proxy in a process of its own; killed when dropped.
 pub struct RunningProxy {
@@ -29,6 +30,14 @@
             .unwrap();
         assert!(sent.success() && self.child.try_wait().unwrap().is_none());
     }
+    /// Has it stand still until [`resume`](RunningProxy::resume), like one that gets no processor.
+    pub fn pause(&mut self) {
+        self.signal("-STOP");
+        wait_until_stopped(self.child.id());
+    }
+    pub fn resume(&mut self) {
+        self.signal("-CONT");
+    }
 }
 
 impl Drop for RunningProxy {
@@ -60,13 +69,14 @@
         .stderr(log)
         .spawn()
         .unwrap();
-    let running = RunningProxy {
+    let mut running = RunningProxy {
         child,
         addr,
         config: path,
     };
     let begun = Instant::now();
     while TcpStream::connect(addr).is_err() {
+        assert_eq!(running.child.try_wait().unwrap(), None, "it does not start");
         assert!(begun.elapsed() < TEST_TIMEOUT, "it does not listen");
         thread::sleep(Duration::from_millis(5));
     }
--- a/crates/proxy/tests/loopback/upstream.rs
+++ b/crates/proxy/tests/loopback/upstream.rs
@@ -260,7 +260,7 @@
         leaves.send(&query("look", 1, 8000));
         let mut late = gate.accept();
         late.startup();
-        drop(leaves);
+        leaves.disconnect();
         // Answered by the proxy itself, after it has found that the other has gone.
         stays.send(&encode(|o| postgres::put_query(o, b"")));
         assert_eq!(stays.answer().0, "IZ");
@@ -279,6 +279,29 @@
     }
 }
 
+#[test]
+fn nothing_is_sent_for_a_client_that_left_while_the_instance_stood_still() {
+    // Nothing may begin for a client that left so long ago.
+    let limit = Duration::from_millis(100);
+    for cancel in ["true", "false"] {
+        let (gate, discovery) = (ManualServer::new(), ManualServer::new());
+        let config = known_only(&gate, &discovery)
+            .replace("\"may_cancel\":true", &format!("\"may_cancel\":{cancel}"));
+        let mut proxy = start_proxy(&config);
+        let mut leaves = Client::admitted(proxy.addr);
+        leaves.send(&query("look", 1, 8000));
+        let mut late = gate.accept();
+        late.startup();
+        // It finds both at once: that its connection is made, and that its client has gone.
+        proxy.pause();
+        late.let_in();
+        leaves.disconnect();
+        thread::sleep(limit);
+        proxy.resume();
+        assert_eq!(late.query(), None, "{cancel}");
+    }
+}
+
 #[test]
 fn a_retry_whose_idempotency_window_ends_while_it_connects_is_not_written() {
     let (gate, discovery) = (ManualServer::new(), ManualServer::new());
