--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -111,6 +111,22 @@
         }
     }
 
+    /// Closes the connection of the client that waits for the response to a request if the client
+    /// has disconnected, even if the event loop has not reported that yet.
+    pub fn close_if_disconnected(&mut self, id: RequestId, context: &mut EventContext<'_>) {
+        let waiting = self.requests.get_mut(id).and_then(|pending| pending.client);
+        let Some(key) = waiting else {
+            return;
+        };
+        let is_disconnected = self
+            .connections
+            .get(key)
+            .is_some_and(|client| client.connection.has_hung_up());
+        if is_disconnected {
+            self.close(key, context);
+        }
+    }
+
     /// Closes a connection; the policy learns that the client no longer waits for its pending
     /// request.
     pub(super) fn close(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -26,11 +26,11 @@
 
 use calloop::Readiness;
 use tidescale_policy::Balancer;
-use tidescale_policy::types::{AttemptOutcome, BuildNumber, Timestamp};
+use tidescale_policy::types::{AttemptId, AttemptOutcome, BuildNumber, Timestamp};
 use tidescale_settings::ConnectionSettings;
 
 use crate::clients::Clients;
-use crate::context::{IoContext, Owner};
+use crate::context::{EventContext, IoContext, Owner};
 use crate::ids::EndpointConnectionKey;
 use crate::slots::Slots;
 
@@ -99,6 +99,19 @@
     pub policy: &'a mut Balancer,
 }
 
+impl ExchangeContext<'_> {
+    /// Whether an attempt may be written whose connection had to be established first. Clients are
+    /// served after endpoints, so that the disconnect of its client may not have been handled yet.
+    fn may_still_write(&mut self, id: AttemptId) -> bool {
+        let mut context = EventContext {
+            io: self.io,
+            policy: self.policy,
+        };
+        self.clients.close_if_disconnected(id.request, &mut context);
+        self.policy.may_write_attempt(id)
+    }
+}
+
 /// All endpoints and the connections to them.
 pub struct Upstream {
     endpoints: BTreeMap<String, Endpoint>,
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -166,7 +166,7 @@
         // The guards of the policy may have changed since it chose the endpoint.
         if let Some(exchange) = connection.open_exchange()
             && let Job::Attempt(id) = exchange.job
-            && !context.policy.may_write_attempt(id)
+            && !context.may_still_write(id)
         {
             exchange.outcome = Some(AttemptOutcome::NotSent);
             debug!(context.io.log, "attempt no longer allowed"; "endpoint" => &connection.endpoint);
