--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -132,24 +132,33 @@
         policy: &mut Balancer,
     ) {
         let deadline = Instant::now() + self.shutdown_timeout;
-        let time_remaining = || deadline.saturating_duration_since(Instant::now());
         let records = self.collection.collect_all(directory, now, policy);
-        // The thread may refuse the last snapshot while another one waits.
-        if self.background.has_pending()
-            && let Some(result) = self.background.wait_for_result(time_remaining())
-        {
-            self.record_result(result, now);
+        // The thread refuses the last snapshot while another one waits.
+        if self.wait_for_last_result(deadline, now).is_some() {
+            self.submit(records, now);
+        }
+        match self.wait_for_last_result(deadline, now) {
+            None => warn!(self.log, "last snapshot not written in time"),
+            // The log says why.
+            Some(false) => {}
+            Some(true) => {
+                let longest_slice_us = self.longest_slice.as_micros() as u64;
+                info!(self.log, "last snapshot written"; "longest_slice_us" => longest_slice_us);
+            }
         }
-        self.submit(records, now);
+    }
+
+    /// Waits until the thread has nothing left to write. Whether it has written the last of it; none if it has not
+    /// finished by the deadline.
+    fn wait_for_last_result(&mut self, deadline: Instant, now: Timestamp) -> Option<bool> {
+        let mut is_written = false;
         while self.background.has_pending() {
-            let Some(result) = self.background.wait_for_result(time_remaining()) else {
-                warn!(self.log, "last snapshot not written in time");
-                return;
-            };
+            let time_remaining = deadline.saturating_duration_since(Instant::now());
+            let result = self.background.wait_for_result(time_remaining)?;
+            is_written = result.is_ok();
             self.record_result(result, now);
         }
-        let longest_slice_us = self.longest_slice.as_micros() as u64;
-        info!(self.log, "last snapshot written"; "longest_slice_us" => longest_slice_us);
+        Some(is_written)
     }
 
     /// Hands a snapshot to the thread, or drops it if another one still waits: a disk that stalls must not fill the
--- a/crates/proxy/tests/loopback/files.rs
+++ b/crates/proxy/tests/loopback/files.rs
@@ -1,5 +1,6 @@
 //! Snapshots in a directory: over a restart, damaged ones, the last one, and the command that looks at them.
 
+use std::fs::File;
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +9,7 @@
 
 use crate::common::{
     CommandOutput, EndpointAction, TEST_TIMEOUT, config_with_endpoints, one_query, run_tidescale,
-    start_endpoint, start_proxy_with, wait_until,
+    start_endpoint, start_proxy_logging_to, start_proxy_with, wait_until,
 };
 
 /// What version 1 wrote, and what was printed of it then.
@@ -213,6 +214,26 @@
     );
 }
 
+#[test]
+fn a_last_snapshot_that_cannot_be_written_is_not_reported_as_written() {
+    let directory = snapshot_directory("blocked");
+    let operators = operators_file(&directory, "1 h");
+    let log = format!("{directory}.log");
+    let mut instance = start_proxy_logging_to(
+        &config_with_endpoints(&[], 128),
+        &["run", "--operators", &operators],
+        File::create(&log).unwrap(),
+    );
+    // It answers once it has opened the directory.
+    one_query(instance.addr, 1);
+    std::fs::create_dir(format!("{directory}/memory.new")).unwrap();
+    instance.signal("-TERM");
+    assert!(instance.child.wait().unwrap().success());
+    let log = std::fs::read_to_string(&log).unwrap();
+    assert!(log.contains("snapshot not written"), "{log}");
+    assert!(!log.contains("last snapshot written"), "{log}");
+}
+
 /// A directory with the version-1 file and nothing else.
 fn version_1_directory(name: &str) -> String {
     let directory = snapshot_directory(name);
