--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -30,8 +30,9 @@
         if stage == Stage::Closing && client.connection.output.is_empty() {
             client.connection.end_sending();
         }
-        let is_starved = self.starved.contains(&key);
-        if must_be_served_again(client, stage, is_starved) {
+        // A starved connection is served again once buffers are free.
+        let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
+        if has_input_to_handle(client, stage) && !is_starved() {
             self.pending.push(key);
         }
         self.set_stage(key, stage, context.io);
@@ -154,13 +155,13 @@
     }
 }
 
-/// There is input that can be handled in the next iteration without a report of the event loop.
-fn must_be_served_again(client: &ClientConnection, stage: Stage, is_starved: bool) -> bool {
+/// There is input that can be handled without a report of the event loop.
+fn has_input_to_handle(client: &ClientConnection, stage: Stage) -> bool {
     if stage == Stage::Closing {
         // Input beyond the limit is discarded only when the event loop reports more.
         return client.has_more_to_discard();
     }
-    client.takes_messages() && client.may_have_message() && !is_starved
+    client.takes_messages() && client.may_have_message()
 }
 
 /// When the time limit of a connection's stage expires; `None` if the stage has none.
