--- a/crates/proxy/tests/loopback/common.rs
+++ b/crates/proxy/tests/loopback/common.rs
@@ -6,6 +6,7 @@
 mod manual;
 mod protocol;
 mod servers;
+mod system;
 
 use std::time::Duration;
 
@@ -15,6 +16,7 @@
 pub use manual::*;
 pub use protocol::*;
 pub use servers::*;
+pub use system::*;
 
 /// Whatever a test waits for comes within this, or the test fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
