--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -167,8 +167,9 @@
     fn has_slow_start_credit(&mut self, index: EndpointIndex) -> bool {
         let endpoints = self.inputs.view.endpoints;
         let endpoint = endpoints.classed(index);
-        let slow_start = &mut self.inputs.slow_start;
-        slow_start.has_credit(endpoint, endpoints, self.context)
+        self.inputs
+            .slow_start
+            .has_credit(endpoint, endpoints, self.context)
     }
 
     /// Keeps the endpoints that can respond in time, if there are any: long requests leave the slow
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -40,7 +40,9 @@
     let length = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(&[type_byte]);
     out.push(&(length as u32).to_be_bytes());
-    body.iter().for_each(|part| out.push(part));
+    for part in body {
+        out.push(part);
+    }
 }
 
 /// Writes the startup message to an endpoint.
--- a/crates/simulator-adapter/tests/decisions.rs
+++ b/crates/simulator-adapter/tests/decisions.rs
@@ -123,12 +123,11 @@
     match name {
         "SEND" => Some(&[Number, Endpoint, Number]),
         "STOP_ATTEMPT" | "TURN_AWAY" => Some(&[Number, Number]),
-        "ERROR" => Some(&[Number]),
         "OPINION" => Some(&[Number, Number, Number]),
         "HEALTH_CHECK" => Some(&[Endpoint]),
         "TAIL" => Some(&[Literal("1")]),
         "SCHEDULE" => Some(&[Number, Literal("0")]),
-        "INSTANCE" | "ACK" => Some(&[Number]),
+        "ERROR" | "INSTANCE" | "ACK" => Some(&[Number]),
         _ => None,
     }
 }
