--- a/crates/policy/src/balancer/status.rs
+++ b/crates/policy/src/balancer/status.rs
@@ -7,6 +7,8 @@
 pub struct EndpointStatus {
     /// Its state in the endpoint list.
     pub state: EndpointState,
+    /// It takes no requests until health checks or a trial request show that it serves.
+    pub ejected: bool,
     /// This instance's attempts in flight there.
     pub in_flight: f64,
     /// Requests in flight that it last reported.
