--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// 1 where one endpoint gave all outcomes, and less the more evenly they are dispersion.
+    /// 1 where one endpoint gave all outcomes, and less the more evenly they are spread.
     pub fn concentration(&self) -> f64 {
         self.dispersion.outcomes_squared / self.outcomes.powi(2)
     }
--- a/crates/policy/src/statistics/sequential_test.rs
+++ b/crates/policy/src/statistics/sequential_test.rs
@@ -34,8 +34,8 @@
 pub struct Scores {
     /// The score for the minimum effect.
     pub minimum_effect: f64,
-    /// The score for the minimum effect and for a large one, with equal weights: a test for a small
-    /// effect alone is slow to detect large ones.
+    /// The scores for the minimum effect and for a large one, added as likelihood ratios: a test for
+    /// a small effect alone is slow to detect large ones.
     pub mixture: f64,
 }
 
