--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -25,6 +25,11 @@
 
 /// How long an instance runs, which is enough for several saves.
 const RUN_TIME: Duration = Duration::from_secs(3);
+/// Slowdowns that the snapshots store for each endpoint.
+const SLOWDOWN: WeightedSum = WeightedSum {
+    sum: 3.5,
+    weight: 4.0,
+};
 /// Log key of the longest time for which collecting a snapshot has blocked the event loop.
 const LONGEST_SLICE: &str = "longest_slice_us: ";
 /// Log key of the longest iteration of the event loop.
@@ -169,10 +174,7 @@
         observed_at,
         process: process.clone(),
         hardware_class: "k".to_string(),
-        slowdown: WeightedSum {
-            sum: 3.5,
-            weight: 4.0,
-        },
+        slowdown: SLOWDOWN,
         reported_load: ReportedLoad {
             in_flight: 2.0,
             reported_at: observed_at,
