--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -7,7 +7,8 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, fractional_micros};
 
-/// Attempts that may be in flight at an endpoint that has run for long.
+/// Attempts that may be in flight at first, before the limit adapts: at an endpoint that has run
+/// for long, …
 const INITIAL_LIMIT: f64 = 6.0;
 /// … at one that returns to service after an ejection.
 const RETURN_LIMIT: f64 = 2.0;
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Drops evidence that has decayed, keys that bind nothing any more, and names of endpoints that
-    /// have been removed and to which nothing refers.
+    /// Drops evidence that has decayed, keys that bind nothing any more, and names of endpoints
+    /// that have been removed and to which nothing refers.
     fn forget_expired(&mut self) {
         self.evaluator.forget_expired(self.context.now);
         self.key_builds.forget_expired(&self.endpoints);
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -113,8 +113,8 @@
     }
 
     /// Checks all guards once more for an attempt whose connection had to be established first and
-    /// that is only now written: they may have changed since the attempt was chosen. An attempt that
-    /// may not be written has certainly not been executed.
+    /// that is only now written: they may have changed since the attempt was chosen. An attempt
+    /// that may not be written has certainly not been executed.
     pub fn may_write_attempt(&mut self, id: AttemptId) -> bool {
         let now = self.context.now;
         let Some((request, attempt)) = self.requests.live_attempt(id, now) else {
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Records an attempt that has timed out. If only responses that arrive were measured, latencies
-    /// would be underestimated.
+    /// Records an attempt that has timed out. If only responses that arrive were measured,
+    /// latencies would be underestimated.
     pub(super) fn record_timed_out(&mut self, timed_out: TimedOutAttempt) {
         let TimedOutAttempt { id, age } = timed_out;
         self.record_evidence(id, AttemptOutcome::TimedOut, age);
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -5,12 +5,17 @@
 //!
 //! - two refused connections in a row, or
 //! - an attempt that passed its latency objective without any response from the endpoint since it
-//!   was sent, while fewer than a third of the ready endpoints are ejected.
+//!   was sent (noticed in `retries::timeouts`), while fewer than a third of the ready endpoints are
+//!   ejected.
+//!
+//! A hedged request can hide an unresponsive endpoint: the attempt there is cancelled before it
+//! passes its objective.
 //!
 //! What brings it back:
 //!
-//! - health checks passed in a row: two at first, twice as many after each ejection up to 16, and
-//!   two in panic mode; one is sent every 400 ms,
+//! - health checks passed in a row: two at first, twice as many after each return by health checks
+//!   up to 16, and two in panic mode; they are at least 400 ms apart, and sent by the evaluation,
+//!   which runs every 250 ms,
 //! - in panic mode, a trial request that succeeds: each endpoint gets one a second at most, or
 //! - the start of another process.
 
--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -9,13 +9,14 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, BuildNumber, EndpointIndex, Timestamp};
 
-/// Time between two health checks of an ejected endpoint, and how long one may take.
+/// Shortest time between two health checks of an ejected endpoint, and how long one may take. They
+/// are sent by the evaluation, so that the time between them is a multiple of its interval.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// This number of refused connections in a row ejects an endpoint, however many are ejected
-/// already: it serves nothing.
-const MAX_CONSECUTIVE_REFUSALS: u32 = 2;
+/// This number of refused connections, with no response between them, ejects an endpoint, however
+/// many are ejected already: it serves nothing.
+const EJECTING_REFUSALS: u32 = 2;
 /// Unresponsive endpoints are ejected while fewer than one in this number of the ready ones is.
-const MAX_EJECTED_PART: usize = 3;
+const READY_PER_EJECTED: usize = 3;
 /// Time between two trial requests to an endpoint while all endpoints are ejected.
 const TRIAL_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -174,7 +175,7 @@
             health.consecutive_refusals = 0;
         }
         health.consecutive_refusals += u32::from(outcome == AttemptOutcome::Refused);
-        let refuses = health.consecutive_refusals >= MAX_CONSECUTIVE_REFUSALS;
+        let refuses = health.consecutive_refusals >= EJECTING_REFUSALS;
         if refuses && context.settings.health_checks && !health.ejected {
             health.eject(now);
         }
@@ -215,7 +216,7 @@
         let mut ejected_count = ready.clone().filter(is_ejected).count();
         for (index, endpoint) in ready {
             let health = &mut self.endpoints[index];
-            let may_eject = ejected_count * MAX_EJECTED_PART < ready_count;
+            let may_eject = ejected_count * READY_PER_EJECTED < ready_count;
             if !health.ejected && health.unresponsive && may_eject {
                 ejected_count += 1;
                 health.eject(now);
--- a/crates/policy/src/health/endpoint_health.rs
+++ b/crates/policy/src/health/endpoint_health.rs
@@ -4,8 +4,8 @@
 
 /// Health checks that an endpoint must pass in a row at first, and while no endpoint is in service.
 pub(super) const MIN_PASSES: u32 = 2;
-/// The number doubles with each ejection up to this: some endpoints pass health checks and fail
-/// requests.
+/// The number doubles with each return by health checks up to this: some endpoints pass health
+/// checks and fail requests.
 const MAX_PASSES: u32 = 16;
 
 /// Whether one endpoint responds.
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -16,7 +16,8 @@
     /// Cancels an attempt.
     fn cancel_attempt(&mut self, attempt: AttemptId);
 
-    /// Tells the client that its request was not executed; `retry_after` zero names no time.
+    /// Tells the client that it may send its request again: it was not executed, or executing it
+    /// again does no harm. `retry_after` zero names no time.
     fn reject_request(&mut self, request: RequestId, retry_after: Duration);
 
     /// Tells the client that its request has failed and may have been executed.
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -18,8 +18,8 @@
 const SLOWDOWN_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
 /// Baselines of hardware classes change as slowly as those of routes.
 const BASELINE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(30);
-/// Responses at the baseline that a hardware class starts with, and at the mean of its class that an
-/// endpoint starts with.
+/// Responses at the baseline that a hardware class starts with, and at the mean of its class that
+/// an endpoint starts with.
 const PRIOR_RESPONSES: f64 = 2.0;
 /// An attempt that fails counts as a response of this slowdown: a response is expected to take a
 /// quarter of its latency objective, and a failed attempt counts as all of it.
--- a/crates/policy/src/retries/idempotency.rs
+++ b/crates/policy/src/retries/idempotency.rs
@@ -1,8 +1,8 @@
 //! Whether a request may be sent to an endpoint without the risk of a second effect (rule 2).
 //!
 //! - An idempotent request may be sent again anywhere.
-//! - A request with an idempotency key may be sent again within the window after its first attempt
-//!   to endpoints that share the keys of all its earlier attempts.
+//! - A request with an idempotency key may be sent again while, for each earlier attempt that may
+//!   have executed it, the window has not passed and the endpoint shares that attempt's keys.
 //! - Any other request may be sent again only if no earlier attempt can have executed it.
 
 use crate::endpoints::{Endpoint, EndpointTable};
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The lowest build to which a request may be sent: the latest one that has answered its key, or
-    /// to which it is being sent, which may answer before this instance learns of it.
+    /// The lowest build to which a request may be sent: the latest one that has answered its key,
+    /// or to which it is being sent, which may answer before this instance learns of it.
     pub(crate) fn lowest_build(
         &self,
         request: &Request,
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -11,8 +11,9 @@
 
 /// An attempt has failed that takes longer than this multiple of its latency objective.
 const LATE_FACTOR: u32 = 2;
-/// The response of a first attempt may be lost once it has taken this multiple of the baseline
-/// latency, and half its latency objective.
+/// The response of a first attempt may be lost, and a hedged request stays due from then on even
+/// under congestion, once it has taken this multiple of the baseline latency, and half its latency
+/// objective.
 const HEDGE_FACTOR: f64 = 4.0;
 /// Responses that must be known for that: the quick ones come first.
 const MIN_HEDGE_RESPONSES: f64 = 100.0;
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -250,8 +250,8 @@
 
 /// Reading and restoring for snapshots.
 impl Evaluator {
-    /// Up to `limit` pairs of build and endpoint with outcomes, from this one on. There may be up to
-    /// twice as many, since own and restored outcomes are looked up separately.
+    /// Up to `limit` pairs of build and endpoint with outcomes, from this one on. There may be up
+    /// to twice as many, since own and restored outcomes are looked up separately.
     pub(crate) fn outcome_keys_from(&self, from: OutcomeKey, limit: usize) -> Vec<OutcomeKey> {
         self.outcomes.keys_from(from, limit)
     }
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -22,7 +22,7 @@
     min_baseline_outcomes: MIN_OUTCOMES,
 };
 
-/// What differs from test to test.
+/// What differs from test to test: failures, slowness, errors, fleet slowdown.
 pub(super) const TESTS: PerTest<TestParameters> = PerTest::new([
     FAILURES,
     TestParameters {
@@ -85,7 +85,8 @@
 /// The evidence margin grows by this multiple of itself where one endpoint gave all outcomes.
 pub(super) const ENDPOINT_MARGIN_FACTOR: f64 = 2.0;
 
-/// Correction to the root of the number of votes, for how rarely several instances vote simultaneously.
+/// Correction to the root of the number of votes, for how rarely several instances vote
+/// simultaneously.
 pub(super) const VOTES_OFFSET: f64 = 0.82;
 
 /// A hold is released at the latest this long after its stage began.
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -10,8 +10,8 @@
 use crate::statistics::{Dispersion, WeightedSum};
 use crate::types::{BuildNumber, EndpointState, RolloutPhase, StageIndex, Timestamp};
 
-/// A build that was rejected is held by a restarted instance for this long, where it is still under
-/// evaluation.
+/// For this long a restarted instance counts a build that was rejected before as suspect: its score
+/// counts as positive, so that the instance holds it at each stage as long as a hold may last.
 pub const REJECTION_MEMORY: Duration = Duration::from_secs(60);
 
 /// A value for this instance's zone and one for all other zones.
--- a/crates/policy/src/statistics/sequential_test.rs
+++ b/crates/policy/src/statistics/sequential_test.rs
@@ -1,5 +1,4 @@
-//! One test of a candidate against a baseline: the score for a small and, where failures are rare,
-//! for a large effect.
+//! One test of a candidate against a baseline: the score for a small and for a large effect.
 
 use super::{ArmVariances, Arms, Rarity, VarianceModel, sprt_score};
 
@@ -34,8 +33,8 @@
 pub struct Scores {
     /// The score for the minimum effect.
     pub minimum_effect: f64,
-    /// The scores for the minimum effect and for a large one, added as likelihood ratios: a test for
-    /// a small effect alone is slow to detect large ones.
+    /// The scores for the minimum effect and for a large one, added as likelihood ratios: a test
+    /// for a small effect alone is slow to detect large ones.
     pub mixture: f64,
 }
 
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -71,8 +71,9 @@
         (squares / arm.outcomes.max(1.0) / self.bernoulli(arm)).max(1.0)
     }
 
-    /// The variances of both sides. The baseline's clustering is assumed for a candidate of few
-    /// endpoints too, and where few rare failures have been seen, so is its share of failures.
+    /// The variances of both sides. The candidate's clustering is at least the baseline's, since
+    /// few endpoints do not show their own; where few rare failures have been seen, the baseline's
+    /// share of failures stands in for the candidate's.
     pub fn variances(&self, arms: Arms) -> ArmVariances {
         let Arms {
             candidate,
@@ -143,10 +144,10 @@
 
     /// By how much a score must exceed the bound where many instances vote.
     ///
-    /// α bounds the rate of false rollbacks, and a rollback needs `votes` simultaneous votes. The margin
-    /// gives each instance such a share of α that this many false votes together stay as rare
-    /// as α asks for. For several votes, the rate at which one instance may err is approximated by
-    /// the square of the root of their number less `votes_offset`.
+    /// α bounds the rate of false rollbacks, and a rollback needs `votes` simultaneous votes. The
+    /// margin gives each instance such a share of α that this many false votes together stay as
+    /// rare as α asks for. For several votes, the rate at which one instance may err is
+    /// approximated by the square of the root of their number less `votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, votes_offset: f64) -> f64 {
         let rate = if votes > 1.0 {
             (votes.sqrt() - votes_offset).powi(2)
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -43,7 +43,8 @@
 }
 
 impl AttemptOutcome {
-    /// The endpoint responded, if only with an error.
+    /// The endpoint executed the request or tried to, and responded, if only with an error. One
+    /// that rejects attempts under load without executing them does not count as responsive.
     pub fn is_response(self) -> bool {
         use AttemptOutcome::{Failed, InvalidRequest, Malformed, Succeeded};
         matches!(self, Succeeded | Failed | Malformed | InvalidRequest)
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -48,15 +48,16 @@
     pub stage: StageIndex,
     /// The test whose score passed the bound.
     pub test: EvidenceTest,
-    /// Outcomes of the build, including those restored from a snapshot.
+    /// Outcomes of the build, including those restored from a snapshot; in the test of the fleet,
+    /// of the endpoints with the smallest shares of slow responses, whatever build they run.
     pub candidate: FailureShare,
-    /// Outcomes of what it is compared with.
+    /// Outcomes with which it is compared, including those added where there are few.
     pub baseline: FailureShare,
     /// Outcomes of the build from before this instance's restart.
     pub restored_outcomes: f64,
     /// The score, less the evidence margin and the margin for the number of instances.
     pub score: f64,
-    /// The Wald bound that the score has passed.
+    /// The Wald bound that the score has reached.
     pub bound: f64,
     /// The rate of false rollbacks for which the bound is chosen.
     pub alpha: f64,
--- a/crates/policy/tests/policy/health.rs
+++ b/crates/policy/tests/policy/health.rs
@@ -245,9 +245,9 @@
 
 #[test]
 fn instance_whose_endpoints_are_all_ejected_recovers() {
-    // Health checks are lost on this instance's way to the endpoints, so that a trial request has to
-    // show that they serve; or they pass health checks, of which two are enough while no endpoint is
-    // in service, although each has been ejected often before.
+    // Health checks are lost on this instance's way to the endpoints, so that a trial request has
+    // to show that they serve; or they pass health checks, of which two are enough while no
+    // endpoint is in service, although each has been ejected often before.
     let cases = [
         PanicCase {
             health_check: None,
--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -1,5 +1,5 @@
-//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of attempts,
-//! health checks and votes. The order of the draws is part of each history.
+//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of
+//! attempts, health checks and votes. The order of the draws is part of each history.
 
 use std::time::Duration;
 
--- a/crates/policy/tests/policy/rule_checker/limits.rs
+++ b/crates/policy/tests/policy/rule_checker/limits.rs
@@ -32,7 +32,8 @@
         });
     }
 
-    /// A vote is of a kind that the platform takes, on the newest build, and the only one in flight.
+    /// A vote is of a kind that the platform takes, on the newest build, and the only one in
+    /// flight.
     pub fn check_vote(&mut self, ballot: Ballot) {
         let is_allowed = match ballot.vote {
             Vote::Advance => !self.settings.automatic_stages,
--- a/crates/policy/tests/policy/rule_checker/model.rs
+++ b/crates/policy/tests/policy/rule_checker/model.rs
@@ -17,7 +17,8 @@
 
 /// Number of simulated endpoints.
 pub const ENDPOINTS: u64 = 9;
-/// Requests a second that an endpoint can serve; a warm one serves about as many of this instance's.
+/// Requests a second that an endpoint can serve; a warm one serves about as many of this
+/// instance's.
 pub const CAPACITY_PER_SECOND: f64 = 25.0;
 
 /// An endpoint as the list names it.
--- a/crates/policy/tests/policy/warm_up.rs
+++ b/crates/policy/tests/policy/warm_up.rs
@@ -41,8 +41,8 @@
         instance
     }
 
-    /// Attempts of one instance at an endpoint in the 1.5 seconds after its start, if it is the only
-    /// one.
+    /// Attempts of one instance at an endpoint in the 1.5 seconds after its start, if it is the
+    /// only one.
     fn attempts_at_new_endpoint(&self, instance: &mut Instance) -> usize {
         let started_at = instance.now();
         instance.step_now(|policy| {
@@ -94,8 +94,8 @@
         });
         let attempts: usize = attempts.sum();
 
-        // Warm endpoints serve twenty requests a second each. A new one can serve 0.43 of that over the
-        // overload window, and fails at twice as much.
+        // Warm endpoints serve twenty requests a second each. A new one can serve 0.43 of that over
+        // the overload window, and fails at twice as much.
         assert!((3..=26).contains(&attempts), "{deployment:?}: {attempts}");
     }
 }
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -26,7 +26,7 @@
         });
     }
 
-    /// Tells the client that its request was not executed, and when it may retry unless that is
+    /// Tells the client that it may send its request again, and when it may retry unless that is
     /// less than a millisecond.
     pub fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
         let detail = if retry_after >= RETRY_AFTER_UNIT {
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -53,8 +53,8 @@
         self.events.entry(instance).or_default().push(event_line);
     }
 
-    /// Drops the events that were read for an instance before it started or stopped. The batch still
-    /// names the instance.
+    /// Drops the events that were read for an instance before it started or stopped. The batch
+    /// still names the instance.
     pub fn clear(&mut self, instance: InstanceNumber) {
         self.events.entry(instance).or_default().clear();
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! `tidescale-simhost`: runs the policy on the operators' bench. Batches of events are read as lines
-//! from stdin, decisions are written as lines to stdout; all decisions are made by the policy.
+//! `tidescale-simhost`: runs the policy on the operators' bench. Batches of events are read as
+//! lines from stdin, decisions are written as lines to stdout; all decisions are made by the
+//! policy.
 //!
 //! A batch is
 //!
--- a/crates/simulator-adapter/tests/common/mod.rs
+++ b/crates/simulator-adapter/tests/common/mod.rs
@@ -143,8 +143,8 @@
         lines.filter(|line| line.starts_with(start)).collect()
     }
 
-    /// Asserts that the adapter ended with this message: on stdout as the only line of the reply, on
-    /// stderr after the program's name.
+    /// Asserts that the adapter ended with this message: on stdout as the only line of the reply,
+    /// on stderr after the program's name.
     pub fn assert_ended_with(&self, message: &str, case: &str) {
         assert!(!self.succeeded, "{case}: accepted");
         assert_eq!(self.reply, format!("INTERNAL_ERROR {message}\n"), "{case}");
--- a/crates/snapshot/src/expiry/lifetime.rs
+++ b/crates/snapshot/src/expiry/lifetime.rs
@@ -28,7 +28,7 @@
     pub(super) const BASELINE: Lifetime = Lifetime::decaying(Duration::from_secs(600));
     /// The fleet before the rollout and how zones compare.
     pub(super) const FLEET: Lifetime = Lifetime::decaying(Duration::from_secs(60));
-    /// As long as the policy holds a rejected build.
+    /// As long as the policy counts a build that was rejected before a restart as suspect.
     const REJECTED_BUILD: Lifetime = Lifetime {
         half_life: Duration::from_secs(60),
         max_age: Duration::from_secs(60),
