--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -90,7 +90,7 @@
         self.total.is_congested()
     }
 
-    /// The fleet is so slow that a time-out is no evidence against its endpoint.
+    /// The fleet is so slow that a time-out does not make its endpoint less likely to be chosen.
     pub(crate) fn fleet_is_overloaded(&self) -> bool {
         self.total.more_than_one_slow_in(OVERLOADED_FLEET_RESPONSES)
     }
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -31,6 +31,8 @@
         ..FAILURES
     },
     // Errors are also compared across time: neither overload nor endpoint churn causes them.
+    // Without a concurrent baseline they get the margin of the failures (`evidence_margin` in the
+    // evaluator).
     TestParameters {
         rarity: Rarity::Rare(4.0),
         evidence_margin: 0.0,
@@ -73,7 +75,8 @@
 /// … and up to this one for the baseline: they speed up a verdict and never suffice for one.
 pub(super) const MAX_RESTORED_BASELINE_OUTCOMES: f64 = 2.0 * MIN_OUTCOMES;
 
-/// Outcomes that are added to a baseline that has few of its own, …
+/// Outcomes that are added to the fleet baseline, and to the baseline of errors while no endpoint
+/// of it is in service, …
 pub(super) const PRIOR_OUTCOMES: f64 = MIN_OUTCOMES;
 /// … and the failures among them.
 pub(super) const PRIOR_FAILURES: f64 = 0.15 * MIN_OUTCOMES;
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -51,7 +51,8 @@
     /// Outcomes of the build, including those restored from a snapshot; in the test of the fleet,
     /// of the endpoints with the smallest shares of slow responses, whatever build they run.
     pub candidate: FailureShare,
-    /// Outcomes with which it is compared, including those added where there are few.
+    /// Outcomes with which it is compared, including those that are added
+    /// to the fleet baseline and to a baseline without endpoints in service.
     pub baseline: FailureShare,
     /// Outcomes of the build from before this instance's restart.
     pub restored_outcomes: f64,
