--- /dev/null
+++ b/crates/proxy/tests/codecs/message_chain.rs
@@ -0,0 +1,29 @@
+//! Chains of buffers with bytes of a test.
+
+use tidescale_proxy::buffers::{Chain, Pool};
+
+/// Bytes before the body of a PostgreSQL message: the type and the length.
+pub const MESSAGE_HEAD: usize = 5;
+/// More buffers than a test uses.
+const POOL_CAPACITY: usize = 64;
+
+/// A chain that holds these bytes.
+pub fn chain_of(bytes: &[u8]) -> Chain {
+    let mut chain = Chain::new(&Pool::new(POOL_CAPACITY));
+    chain.push(bytes);
+    chain
+}
+
+/// All bytes of a chain.
+pub fn bytes_of(chain: &Chain) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    chain.copy(0..chain.len(), &mut bytes);
+    bytes
+}
+
+/// The bytes that a function appends to an empty chain.
+pub fn encode(append: impl FnOnce(&mut Chain)) -> Vec<u8> {
+    let mut output = chain_of(b"");
+    append(&mut output);
+    bytes_of(&output)
+}
--- /dev/null
+++ b/crates/proxy/tests/codecs/message_types.rs
@@ -0,0 +1,90 @@
+//! The type byte and the maximum length of each PostgreSQL message.
+
+use std::fmt::Debug;
+
+use tidescale_proxy::buffers::Chain;
+use tidescale_proxy::postgres::{ClientMessage, EndpointMessage, Frame, ProtocolError, frame_head};
+
+use crate::message_chain::{MESSAGE_HEAD, chain_of};
+
+/// Bytes of the length field, which the length of a message includes.
+const LENGTH_FIELD: u32 = 4;
+
+/// The longest body of a query: a value of 64 KiB in hexadecimal, and the statement around it.
+const MAX_QUERY_BODY: u32 = 2 * 64 * 1024 + 4096;
+/// The longest body of a data row.
+const MAX_DATA_ROW_BODY: u32 = 1024 * 1024;
+/// The longest body of a message with neither a statement nor a value.
+const MAX_OTHER_BODY: u32 = 8 * 1024;
+
+/// Finds the first frame of a chain by its head.
+type HeadDecoder<Kind> = fn(&Chain) -> Result<Option<Frame<Kind>>, ProtocolError>;
+
+/// A type byte, the kind of message it stands for, and the longest body.
+type MessageType<Kind> = (u8, Kind, u32);
+
+const CLIENT_MESSAGES: [MessageType<ClientMessage>; 13] = [
+    (b'Q', ClientMessage::Query, MAX_QUERY_BODY),
+    (b'P', ClientMessage::ExtendedQuery, MAX_OTHER_BODY),
+    (b'B', ClientMessage::ExtendedQuery, MAX_OTHER_BODY),
+    (b'D', ClientMessage::ExtendedQuery, MAX_OTHER_BODY),
+    (b'E', ClientMessage::ExtendedQuery, MAX_OTHER_BODY),
+    (b'C', ClientMessage::ExtendedQuery, MAX_OTHER_BODY),
+    (b'F', ClientMessage::FunctionCall, MAX_OTHER_BODY),
+    (b'd', ClientMessage::CopyData, MAX_OTHER_BODY),
+    (b'f', ClientMessage::CopyFail, MAX_OTHER_BODY),
+    (b'c', ClientMessage::CopyDone, 0),
+    (b'H', ClientMessage::Flush, 0),
+    (b'S', ClientMessage::Sync, 0),
+    (b'X', ClientMessage::Terminate, 0),
+];
+
+const ENDPOINT_MESSAGES: [MessageType<EndpointMessage>; 9] = [
+    (b'D', EndpointMessage::DataRow, MAX_DATA_ROW_BODY),
+    (b'T', EndpointMessage::RowDescription, MAX_OTHER_BODY),
+    (b'C', EndpointMessage::CommandComplete, MAX_OTHER_BODY),
+    (b'S', EndpointMessage::ParameterStatus, MAX_OTHER_BODY),
+    (b'E', EndpointMessage::Error, MAX_OTHER_BODY),
+    (b'N', EndpointMessage::Notice, MAX_OTHER_BODY),
+    (b'R', EndpointMessage::Authentication, 8),
+    (b'K', EndpointMessage::BackendKeyData, 8),
+    (b'Z', EndpointMessage::ReadyForQuery, 1),
+];
+
+/// The head of a message with a body of this length.
+fn message_head(type_byte: u8, body: u32) -> Chain {
+    let length = (body + LENGTH_FIELD).to_be_bytes();
+    chain_of(&[&[type_byte][..], &length].concat())
+}
+
+/// Checks all 256 type bytes: those in the table have their kind and longest body, all others are
+/// rejected.
+fn check_type_bytes<Kind>(message_types: &[MessageType<Kind>], decode_head: HeadDecoder<Kind>)
+where
+    Kind: Copy + Debug + PartialEq,
+{
+    for type_byte in 0..=u8::MAX {
+        let message_type = message_types.iter().find(|(byte, ..)| *byte == type_byte);
+        let max_body = message_type.map_or(0, |(.., max_body)| *max_body);
+        let expected = message_type.map(|(_, kind, max_body)| Frame {
+            kind: *kind,
+            length: *max_body as usize + MESSAGE_HEAD,
+        });
+
+        let longest = decode_head(&message_head(type_byte, max_body));
+        let too_long = decode_head(&message_head(type_byte, max_body + 1));
+
+        assert_eq!(longest.ok().flatten(), expected, "{type_byte}");
+        assert!(too_long.is_err(), "{type_byte}");
+    }
+}
+
+#[test]
+fn each_type_byte_of_a_client_has_its_kind_and_maximum_length() {
+    check_type_bytes(&CLIENT_MESSAGES, frame_head);
+}
+
+#[test]
+fn each_type_byte_of_an_endpoint_has_its_kind_and_maximum_length() {
+    check_type_bytes(&ENDPOINT_MESSAGES, frame_head);
+}
