--- a/crates/proxy/tests/log_lines/explain.rs
+++ b/crates/proxy/tests/log_lines/explain.rs
@@ -84,3 +84,32 @@
         assert!(table.contains("42") && table.contains('?'), "{table}");
     }
 }
+
+#[test]
+fn explain_shows_a_verdict_of_an_earlier_release_and_skips_other_lines() {
+    let verdict_line = "Dec 01 19:12:52.618 INFO verdict: to go back, aside: 1, beta: 0.2, alpha: 0.05, bound: 2.77, \
+        score: 3.10, recalled: 4.00, old_outcomes: 71.80, old_hits: 0.00, new_outcomes: 27.90, new_hits: 3.00, \
+        test: errors, stage: 1, build: 42";
+    let other_line = "Dec 01 19:12:52.317 INFO serving, listen: 127.0.0.1:1";
+
+    let table = explain::table(&format!("{other_line}\n{verdict_line}\n")).unwrap();
+
+    for part in [
+        "| 42 ",
+        "3.00 of 27.90 (10.8%)",
+        "3.10 / 2.77",
+        "errors alone",
+        "4.00 outcomes restored from before a restart",
+        "ejected endpoints of the candidate: 1",
+    ] {
+        assert!(table.contains(part), "{part}: {table}");
+    }
+    assert_eq!(table.lines().count(), 3, "{table}");
+}
+
+#[test]
+fn explain_prints_no_table_for_a_log_without_verdicts() {
+    let vote_line = "Dec 01 19:12:52.317 INFO vote, verdict: Back, stage: 1, build: 42";
+
+    assert_eq!(explain::table(vote_line), None);
+}
--- /dev/null
+++ b/crates/proxy/tests/tables/deadlines.rs
@@ -0,0 +1,26 @@
+//! The table of deadlines.
+
+use std::iter;
+
+use tidescale_policy::types::Timestamp;
+use tidescale_proxy::deadlines::Deadlines;
+
+/// The owners whose deadlines have expired by `now`, in microseconds, in the order of expiry.
+fn pop_all_due(deadlines: &mut Deadlines<&'static str>, now: u64) -> Vec<&'static str> {
+    iter::from_fn(|| deadlines.pop_due(Timestamp::from_micros(now))).collect()
+}
+
+#[test]
+fn deadlines_expire_in_order_and_a_later_one_replaces_that_of_its_owner() {
+    let mut deadlines = Deadlines::default();
+    for (owner, at) in [("a", 30), ("b", 10), ("c", 20), ("b", 40), ("d", 10)] {
+        deadlines.set(owner, Timestamp::from_micros(at));
+    }
+    deadlines.clear("c");
+
+    assert_eq!(deadlines.next_at(), Some(Timestamp::from_micros(10)));
+    assert_eq!(pop_all_due(&mut deadlines, 9), [""; 0]);
+    assert_eq!(pop_all_due(&mut deadlines, 30), ["d", "a"]);
+    assert_eq!(pop_all_due(&mut deadlines, 1000), ["b"]);
+    assert_eq!(deadlines.next_at(), None);
+}
