--- a/crates/proxy/tests/log_lines/explain.rs
+++ b/crates/proxy/tests/log_lines/explain.rs
@@ -4,7 +4,7 @@
 use tidescale_proxy::{explain, log_lines};
 
 use crate::capture::{capture, printed};
-use crate::verdict;
+use crate::cases::verdict;
 
 /// A line of the release before.
 const EARLIER_LINE: &str = "Dec 01 18:01:02.003 INFO verdict: to go back, aside: 2, beta: 0.2, alpha: 0.05, \
