--- /dev/null
+++ b/crates/proxy/tests/tables/main.rs
@@ -0,0 +1,9 @@
+//! State that the proxy keeps in memory, tested without sockets.
+
+mod arrivals;
+mod attempt_errors;
+mod buffers;
+mod connection_stages;
+mod deadlines;
+mod log_rate_limit;
+mod slots;
