--- /dev/null
+++ b/crates/proxy/tests/loopback/client_limits.rs
@@ -0,0 +1,194 @@
+//! What limits clients: descriptors, buffers, idle time, ids in use, deadlines.
+
+use std::sync::{Arc, Mutex, mpsc};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use crate::common::*;
+
+/// The error that clients get where the proxy rejects their request for want of capacity.
+const OVERLOADED: &str = "53300";
+
+#[test]
+fn full_descriptor_table_closes_idle_clients_and_no_busy_one() {
+    let endpoint = TestEndpoint::start(|_| {
+        thread::sleep(Duration::from_millis(40));
+        EndpointAction::row()
+    });
+    // Room for six clients and six connections to endpoints.
+    let config = ProxyConfig::new().endpoint(endpoint.address).sockets(50);
+    let proxy = start_proxy(&config);
+    let mut idle: Vec<Client> = (0..6).map(|_| Client::connect(proxy.address)).collect();
+    for client in &mut idle {
+        assert_eq!(client.request(&startup()), Response::Admitted);
+    }
+
+    let mut busy: Vec<Client> = (0..9).map(|_| Client::connect(proxy.address)).collect();
+    for (id, client) in (0..).zip(&mut busy) {
+        client.send_with_startup(&query("look", id, 1200));
+    }
+
+    assert!(idle.iter_mut().all(Client::is_closed));
+    // The first six are served, as far as there are connections; the others wait until these are idle.
+    let mut rows = 0;
+    for client in &mut busy {
+        assert_eq!(client.response(), Response::Admitted);
+        let response = client.response();
+        let allowed = response.is_row() || response == Response::error(OVERLOADED);
+        assert!(allowed, "{response:?}");
+        rows += usize::from(response == Response::row(VALUE));
+    }
+    assert!(rows >= 2, "{rows}");
+}
+
+#[test]
+fn id_in_use_is_rejected_until_its_response_and_idle_clients_are_closed() {
+    let gated = GatedEndpoint::start();
+    let proxy = start_proxy_with_endpoint(&gated.endpoint);
+    let [mut owner, mut other] = [(); 2].map(|()| Client::admitted(proxy.address));
+    owner.send(&query("look", 1, 1200));
+    wait_until("no query received", || {
+        !gated.endpoint.events.all().is_empty()
+    });
+
+    assert!(other.request(&query("look", 1, 1200)).is_error());
+
+    gated.release();
+    assert_eq!(owner.response(), Response::row(VALUE));
+    gated.release();
+    let response = other.request(&query("look", 1, 1200));
+    assert_eq!(response, Response::row(VALUE));
+    assert_eq!(gated.endpoint.events.all().len(), 2);
+    gated.assert_closed_after_idle_time([owner, other]);
+}
+
+/// An endpoint that answers a query when the test says so.
+struct GatedEndpoint {
+    endpoint: TestEndpoint,
+    release: mpsc::Sender<()>,
+    answered_at: Arc<Mutex<Vec<Instant>>>,
+}
+
+impl GatedEndpoint {
+    fn start() -> GatedEndpoint {
+        let (release, released) = mpsc::channel();
+        let released = Mutex::new(released);
+        let answered_at = Arc::new(Mutex::new(Vec::new()));
+        let recorded = answered_at.clone();
+        let endpoint = TestEndpoint::start(move |_| {
+            released.lock().unwrap().recv().unwrap();
+            recorded.lock().unwrap().push(Instant::now());
+            EndpointAction::row()
+        });
+        GatedEndpoint {
+            endpoint,
+            release,
+            answered_at,
+        }
+    }
+
+    /// Lets the endpoint answer one query.
+    fn release(&self) {
+        self.release.send(()).unwrap();
+    }
+
+    /// Checks that each client is closed two seconds after its response or later. The clients are in the order of their
+    /// responses, none of which can have come before the endpoint sent it.
+    fn assert_closed_after_idle_time(&self, clients: [Client; 2]) {
+        let closings = clients.map(|mut client| {
+            thread::spawn(move || {
+                assert!(client.is_closed());
+                Instant::now()
+            })
+        });
+        for (closing, answered_at) in closings.into_iter().zip(&*self.answered_at.lock().unwrap()) {
+            let idle = closing.join().unwrap() - *answered_at;
+            assert!(idle > Duration::from_millis(2000), "{idle:?}");
+        }
+    }
+}
+
+#[test]
+fn clients_idle_after_one_request_are_closed_early_where_too_many_are_open() {
+    let endpoint = TestEndpoint::responsive();
+    // Sixteen may be idle.
+    let proxy = start_proxy_with_endpoint(&endpoint);
+    let opened_at = Instant::now();
+    let mut clients: Vec<Client> = (0..24).map(|_| Client::connect(proxy.address)).collect();
+    for (id, client) in (0..).zip(&mut clients) {
+        client.send_with_startup(&query("look", id, 900));
+        assert_eq!(client.response(), Response::Admitted);
+        assert_eq!(client.response(), Response::row(VALUE));
+    }
+    thread::sleep(Duration::from_millis(150));
+
+    // After one more response the first eight are closed, long before their idle time has passed; the last is not.
+    let response = clients[23].request(&query("look", 99, 900));
+    assert_eq!(response, Response::row(VALUE));
+
+    assert!(clients[..8].iter_mut().all(Client::is_closed));
+    assert!(opened_at.elapsed() < Duration::from_millis(1500));
+    let response = clients[23].request(&query("look", 100, 900));
+    assert_eq!(response, Response::row(VALUE));
+}
+
+#[test]
+fn incomplete_message_evicted_for_want_of_buffers_gets_an_error() {
+    let endpoint = TestEndpoint::responsive();
+    // 85 buffers for input from clients; each message takes nine.
+    let config = ProxyConfig::new().endpoint(endpoint.address).memory_mb(8);
+    let proxy = start_proxy(&config);
+    let message = statement(&format!(
+        "INSERT INTO facts (code, data) VALUES ('7f3a', '\\x{}') RETURNING data /* id=1,c=look,d=900 */",
+        "0".repeat(131_072)
+    ));
+    let incomplete = &message[..message.len() - 40];
+    let open_and_send = |count: usize| {
+        let mut clients: Vec<Client> = (0..count)
+            .map(|_| Client::admitted(proxy.address))
+            .collect();
+        for client in &mut clients {
+            client.send(incomplete);
+        }
+        clients
+    };
+
+    let mut earlier = open_and_send(9);
+    // A message may be evicted once it is a tenth of a second old.
+    thread::sleep(Duration::from_millis(300));
+    let _later = open_and_send(2);
+
+    // Their last bytes may be on their way: none is closed without an error, and those evicted are refused. Those that
+    // are not evicted are refused after 2.4 s, as their message is never completed.
+    let responses: Vec<_> = earlier.iter_mut().map(Client::response).collect();
+    let is_fatal = |response: &Response| matches!(response, Response::FatalError(_));
+    assert!(responses.iter().all(is_fatal), "{responses:?}");
+    assert!(
+        responses.contains(&Response::fatal_error(OVERLOADED)),
+        "{responses:?}"
+    );
+}
+
+#[test]
+fn request_whose_deadline_passes_behind_another_on_its_connection_is_rejected() {
+    let gate = ManualServer::new();
+    let config = ProxyConfig::new()
+        .endpoint(gate.address())
+        .platform(HttpServer::silent().address);
+    let proxy = start_proxy(&config);
+    let mut client = Client::admitted(proxy.address);
+
+    // Both in one write; the first is held until the second's deadline has passed.
+    client.send(&[query("look", 1, 1200), query("look", 2, 300)].concat());
+    let mut endpoint = gate.accept_session();
+    assert!(endpoint.query().is_some_and(|query| query.contains("id=1")));
+    thread::sleep(Duration::from_millis(320));
+    endpoint.answer(1);
+
+    assert_eq!(client.response(), Response::row(&[1]));
+    assert_eq!(client.response(), Response::error(OVERLOADED));
+    // The endpoint receives the third request and not the second.
+    client.send(&query("look", 3, 1200));
+    let next = endpoint.query().or_else(|| gate.accept_session().query());
+    assert!(next.is_some_and(|query| query.contains("id=3")));
+}
--- /dev/null
+++ b/crates/proxy/tests/loopback/common/endpoint.rs
@@ -0,0 +1,180 @@
+//! Stand-in endpoints that act on each query by a script.
+
+use std::io::Write;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use super::protocol::{
+    error, next_message, read_startup, read_to, ready_for_query, row, session_accepted,
+};
+use super::protocol::{message, terminated_text};
+
+/// The value that stand-in endpoints answer with where the test does not look at it.
+pub const VALUE: &[u8] = &[5];
+
+/// What a stand-in endpoint does with a query.
+pub enum EndpointAction {
+    /// Answers with one row of this value, and with a load report.
+    Row(Vec<u8>),
+    /// Answers with an error response of this code, and with a load report.
+    Error(&'static str),
+    /// Sends these bytes in place of a response, and a load report.
+    Bytes(&'static [u8]),
+    /// Answers with a row and this load report, then sends bytes that belong to no response.
+    RowWithReport {
+        report: &'static [u8],
+        trailing_bytes: &'static [u8],
+    },
+    /// Sends nothing and keeps the connection open.
+    NoResponse,
+    /// Closes the connection.
+    Close,
+}
+
+impl EndpointAction {
+    /// Answers with one row of [`VALUE`].
+    pub fn row() -> EndpointAction {
+        EndpointAction::Row(VALUE.to_vec())
+    }
+}
+
+/// What a stand-in endpoint has observed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum EndpointEvent {
+    /// The text of a query.
+    Query(String),
+    /// The connection of a query that got [`EndpointAction::NoResponse`] was closed.
+    ClosedInFlight,
+}
+
+impl EndpointEvent {
+    /// Is a query with this text in it.
+    pub fn is_query_with(&self, text: &str) -> bool {
+        matches!(self, EndpointEvent::Query(query) if query.contains(text))
+    }
+}
+
+/// The events of a stand-in endpoint or of one of its connections, in their order.
+#[derive(Clone, Default)]
+pub struct EventLog(Arc<Mutex<Vec<EndpointEvent>>>);
+
+impl EventLog {
+    pub fn all(&self) -> Vec<EndpointEvent> {
+        self.0.lock().unwrap().clone()
+    }
+
+    /// The number of queries with this text in them.
+    pub fn queries_with(&self, text: &str) -> usize {
+        let events = self.0.lock().unwrap();
+        events
+            .iter()
+            .filter(|event| event.is_query_with(text))
+            .count()
+    }
+
+    /// Waits until this many events have been observed.
+    pub fn wait_for(&self, count: usize, limit: Duration) {
+        let started_at = Instant::now();
+        while self.all().len() < count {
+            assert!(started_at.elapsed() < limit, "{:?}", self.all());
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// Adds an event and returns how many came before it.
+    fn add(&self, event: EndpointEvent) -> usize {
+        let mut events = self.0.lock().unwrap();
+        events.push(event);
+        events.len() - 1
+    }
+}
+
+/// A stand-in endpoint, which serves for as long as the tests run.
+pub struct TestEndpoint {
+    pub address: SocketAddr,
+    pub events: EventLog,
+}
+
+impl TestEndpoint {
+    /// Starts an endpoint that acts by the number of events before the query.
+    pub fn start(script: impl Fn(usize) -> EndpointAction + Send + Sync + 'static) -> TestEndpoint {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let events = EventLog::default();
+        let script = Arc::new(script);
+        let recorded = events.clone();
+        thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let (events, script) = (recorded.clone(), script.clone());
+                thread::spawn(move || serve_connection(stream, &events, &*script));
+            }
+        });
+        TestEndpoint { address, events }
+    }
+
+    /// Starts an endpoint that answers every query with [`VALUE`].
+    pub fn responsive() -> TestEndpoint {
+        TestEndpoint::start(|_| EndpointAction::row())
+    }
+
+    /// Starts an endpoint that does something else with its first query and then answers with [`VALUE`].
+    pub fn responsive_after(
+        first: impl Fn() -> EndpointAction + Send + Sync + 'static,
+    ) -> TestEndpoint {
+        TestEndpoint::start(move |index| {
+            if index == 0 {
+                first()
+            } else {
+                EndpointAction::row()
+            }
+        })
+    }
+}
+
+/// Serves one connection of a stand-in endpoint until it is closed.
+pub fn serve_connection(
+    mut stream: TcpStream,
+    events: &EventLog,
+    script: &dyn Fn(usize) -> EndpointAction,
+) -> Option<()> {
+    let mut unread = Vec::new();
+    read_startup(&mut stream, &mut unread).then_some(())?;
+    stream.write_all(&session_accepted()).ok()?;
+    while let Some((b'Q', body)) = next_message(&mut stream, &mut unread) {
+        let index = events.add(EndpointEvent::Query(terminated_text(&body)));
+        let response = match script(index) {
+            EndpointAction::Close => {
+                // Takes effect now, even while a process that is being started holds a copy of the socket.
+                stream.shutdown(Shutdown::Both).ok()?;
+                return None;
+            }
+            EndpointAction::NoResponse => {
+                read_to(&mut stream, &mut unread, usize::MAX);
+                events.add(EndpointEvent::ClosedInFlight);
+                return None;
+            }
+            action => response_bytes(action),
+        };
+        stream.write_all(&response).ok()?;
+    }
+    Some(())
+}
+
+/// The bytes of an action that answers. The load report follows the response, as the protocol allows.
+fn response_bytes(action: EndpointAction) -> Vec<u8> {
+    const REPORT: &[u8] = b"vitals\0inflight=7,queue=2\0";
+    let (response, report, trailing_bytes) = match action {
+        EndpointAction::Row(value) => (row(&value), REPORT, &[][..]),
+        EndpointAction::Error(code) => (error(code), REPORT, &[][..]),
+        EndpointAction::Bytes(bytes) => (bytes.to_vec(), REPORT, &[][..]),
+        EndpointAction::RowWithReport {
+            report,
+            trailing_bytes,
+        } => (row(VALUE), report, trailing_bytes),
+        EndpointAction::NoResponse | EndpointAction::Close => unreachable!("sends nothing"),
+    };
+    let report = message(b'S', report);
+    [response, report, ready_for_query(), trailing_bytes.to_vec()].concat()
+}
--- a/crates/proxy/tests/loopback/main.rs
+++ b/crates/proxy/tests/loopback/main.rs
@@ -1,7 +1,9 @@
-//! The proxy on loopback sockets, with stand-ins for endpoints, discovery and the platform; by subject.
+//! The proxy on loopback sockets, with stand-ins for endpoints, discovery and the platform; one module a subject.
 
+mod client_limits;
 mod clients;
 mod common;
+mod connecting;
 mod discovery;
 mod files;
 mod list;
