--- a/crates/proxy/tests/loopback/common/client.rs
+++ b/crates/proxy/tests/loopback/common/client.rs
@@ -1,12 +1,12 @@
 //! Clients of the proxy under test.
 
-use std::io::{ErrorKind, Read, Write};
+use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use tidescale_proxy::postgres;
 
 use super::TEST_TIMEOUT;
-use super::protocol::{next, query, startup};
+use super::protocol::{next, query, read_once, startup};
 use super::system::wait_until_end_has_arrived;
 
 /// A client, with what it has read beyond the last message.
@@ -52,7 +52,7 @@
     }
     pub fn ended(&mut self) -> bool {
         let mut bytes = [0; 16];
-        match self.0.read(&mut bytes) {
+        match read_once(&mut self.0, &mut bytes) {
             Ok(0) => true,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => true,
             other => {
--- a/crates/proxy/tests/loopback/common/protocol.rs
+++ b/crates/proxy/tests/loopback/common/protocol.rs
@@ -1,6 +1,6 @@
 //! Messages of the main protocol, as endpoints and clients send and read them.
 
-use std::io::Read;
+use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 
 use tidescale_proxy::buffers::{Chain, Pool};
@@ -35,11 +35,22 @@
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
+/// Reads once. A read with a time-out is interrupted where the tests' process is stopped and continued, and then
+/// repeated.
+pub fn read_once(stream: &mut TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
+    loop {
+        match stream.read(bytes) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            read => return read,
+        }
+    }
+}
+
 /// Reads from the stream until `bytes` holds `n` bytes; false at its end.
 pub fn read_to(stream: &mut TcpStream, bytes: &mut Vec<u8>, n: usize) -> bool {
     let mut some = [0; 4096];
     while bytes.len() < n {
-        match stream.read(&mut some) {
+        match read_once(stream, &mut some) {
             Ok(0) | Err(_) => return false,
             Ok(got) => bytes.extend_from_slice(&some[..got]),
         }
