--- a/crates/proxy/tests/loopback/common/client.rs
+++ b/crates/proxy/tests/loopback/common/client.rs
@@ -1,12 +1,12 @@
 //! Clients of the proxy under test, and the responses that they read.
 
-use std::io::{ErrorKind, Read, Write};
+use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use tidescale_proxy::postgres;
 
 use super::TEST_TIMEOUT;
-use super::protocol::{next_message, query, startup};
+use super::protocol::{next_message, query, read_once, startup};
 use super::system::wait_until_end_has_arrived;
 
 /// What a client reads up to the message ReadyForQuery, or up to the connection's end.
@@ -140,7 +140,7 @@
     /// Waits for the connection's end; false where anything else comes first, or nothing in time.
     pub fn is_closed(&mut self) -> bool {
         let mut bytes = [0; 16];
-        match self.stream.read(&mut bytes) {
+        match read_once(&mut self.stream, &mut bytes) {
             Ok(0) => true,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => true,
             other => {
--- a/crates/proxy/tests/loopback/common/protocol.rs
+++ b/crates/proxy/tests/loopback/common/protocol.rs
@@ -1,6 +1,6 @@
 //! Messages of the main protocol, as endpoints and clients send and read them.
 
-use std::io::Read;
+use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 
 use tidescale_proxy::buffers::{Chain, Pool};
@@ -45,11 +45,22 @@
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
+/// Reads once. A read with a time-out is interrupted where the tests' process is stopped and continued, and is then
+/// repeated.
+pub fn read_once(stream: &mut TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
+    loop {
+        match stream.read(bytes) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
+}
+
 /// Reads from the stream until `bytes` holds this many; false at the stream's end.
 pub fn read_to(stream: &mut TcpStream, bytes: &mut Vec<u8>, length: usize) -> bool {
     let mut buffer = [0; 4096];
     while bytes.len() < length {
-        match stream.read(&mut buffer) {
+        match read_once(stream, &mut buffer) {
             Ok(0) | Err(_) => return false,
             Ok(received) => bytes.extend_from_slice(&buffer[..received]),
         }
