--- a/crates/policy/tests/policy/health.rs
+++ b/crates/policy/tests/policy/health.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use tidescale_policy::Balancer;
 use tidescale_policy::settings::Settings;
 use tidescale_policy::types::{AttemptOutcome, EndpointState};
 
@@ -99,7 +100,7 @@
         request.send(policy, id);
     });
     if replacement.is_multiple_of(7) {
-        instance.step_now(|policy| policy.on_complete_endpoint_list());
+        instance.step_now(Balancer::on_complete_endpoint_list);
     }
     instance.step(millis(300), |policy| {
         AttemptResultBuilder::succeeded(millis(300)).report(policy, id);
--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -10,8 +10,8 @@
 use tidescale_policy::{Balancer, EventSource};
 
 use super::model::{
-    Arrival, ENDPOINTS, EffectiveCap, IssuedRequest, Observer, PendingCheck, SimulatedEndpoint,
-    endpoint_name,
+    Arrival, ENDPOINTS, EffectiveCap, IssuedRequest, Observer, PendingCheck, SentAttempt,
+    SimulatedEndpoint, endpoint_name,
 };
 use crate::harness::{AttemptResultBuilder, RequestBuilder, START, millis};
 
@@ -289,11 +289,7 @@
             }
         }
         self.requests.retain(|_, request| {
-            !request.finished
-                || request
-                    .attempts
-                    .iter()
-                    .any(|attempt| attempt.is_in_flight())
+            !request.finished || request.attempts.iter().any(SentAttempt::is_in_flight)
         });
     }
 
--- a/crates/proxy/tests/tables/slots.rs
+++ b/crates/proxy/tests/tables/slots.rs
@@ -10,6 +10,10 @@
 }
 
 /// A constructor that succeeds.
+#[expect(
+    clippy::unnecessary_wraps,
+    reason = "the table takes constructors that may fail"
+)]
 fn created(name: &'static str) -> Result<&'static str, Infallible> {
     Ok(name)
 }
