--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -5,8 +5,7 @@
 //! | `connection` | the states of one connection |
 //! | `messages` | handling one message of a client, as far as that needs no table |
 //! | [`arrivals`] | when the bytes of each request were received |
-//! | [`stages`] | what each connection waits for, and which connections are closed first to free
-//! resources |
+//! | [`stages`] | what each connection waits for, and which connections are closed first to free resources |
 //! | `pending_requests` | requests that are not finished |
 //! | `accepting` | accepting connections, and closing others to make room for them |
 //! | `reading` | reading from connections and handling what was received |
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -1,8 +1,9 @@
 //! Parses the only form of statement that clients may send, with the properties of the request in
 //! its comment.
 //!
-//! ```sql SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */ INSERT INTO facts
-//! (code, data) VALUES ('7f3a', '\x9f03') RETURNING data /* id=9b1f,c=order,d=480,k=5c0f */
+//! ```sql
+//! SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */
+//! INSERT INTO facts (code, data) VALUES ('7f3a', '\x9f03') RETURNING data /* id=9b1f,c=order,d=480,k=5c0f */
 //! ```
 //!
 //! A statement in any other form is rejected: endpoints accept only these statements.
--- a/crates/proxy/tests/loopback/common/protocol.rs
+++ b/crates/proxy/tests/loopback/common/protocol.rs
@@ -86,7 +86,7 @@
     read_to(stream, bytes, 5).then_some(())?;
     let length = u32::from_be_bytes(bytes[1..5].try_into().unwrap()) as usize;
     read_to(stream, bytes, length + 1).then_some(())?;
-    let whole: Vec<u8> = bytes.drain(..length + 1).collect();
+    let whole: Vec<u8> = bytes.drain(..=length).collect();
     Some((whole[0], whole[5..].to_vec()))
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -16,18 +16,14 @@
 //!
 //! | module | its one job |
 //! | --- | --- |
-//! | [`digest`], `ids`, `parameters` | a digest over numbers; typed indexes; constants with their
-//! units |
+//! | [`digest`], `ids`, `parameters` | a digest over numbers; typed indexes; constants with their units |
 //! | [`random_stream`], [`build_behavior`] | random draws; what a build does to requests |
 //! | `endpoint`, `fleet` | how an endpoint serves; which endpoint serves in which slot |
-//! | [`confounder`], [`case`], [`outcome`] | trouble besides the build; what a trial runs; its
-//! result |
+//! | [`confounder`], [`case`], [`outcome`] | trouble besides the build; what a trial runs; its result |
 //! | `events`, `network` | future events, in order; messages and how long they take |
-//! | `rollout`, `clients`, `attempts` | the platform's stages and votes; requests; the end of an
-//! attempt |
+//! | `rollout`, `clients`, `attempts` | the platform's stages and votes; requests; the end of an attempt |
 //! | `environment` | the state of a trial, made of the parts above |
-//! | `settings`, `delivery`, `decisions`, `decision_digest` | the host side of the policy's
-//! interface |
+//! | `settings`, `delivery`, `decisions`, `decision_digest` | the host side of the policy's interface |
 //! | [`trial`] | the run loop |
 
 mod attempts;
