--- a/crates/proxy/tests/loopback/connecting.rs
+++ b/crates/proxy/tests/loopback/connecting.rs
@@ -5,7 +5,7 @@
 
 use crate::common::*;
 
-/// How an endpoint is listed anew while an attempt connects to it.
+/// How an endpoint is listed again while an attempt connects to it.
 #[derive(Clone, Copy, Debug)]
 struct Relisting {
     state: &'static str,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Lists the endpoint anew while an attempt connects to it, beside another that answers.
+/// Lists the endpoint again while an attempt connects to it, together with another that answers.
 fn assert_attempt_goes_to_another_endpoint(relisting: Relisting) {
     let servers = ManualServers::new();
     let [other, moved] =
