--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -1,5 +1,5 @@
-//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of attempts,
-//! health checks and votes. The order of the draws is part of each history.
+//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of
+//! attempts, health checks and votes. The order of the draws is part of each history.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use tidescale_policy::{Balancer, EventSource};
 
 use super::model::{
-    Arrival, ENDPOINTS, EffectiveCap, IssuedRequest, Observer, PendingCheck, SimulatedEndpoint,
-    endpoint_name,
+    Arrival, ENDPOINTS, EffectiveCap, IssuedRequest, Observer, PendingCheck, SentAttempt,
+    SimulatedEndpoint, endpoint_name,
 };
 use crate::harness::{AttemptResultBuilder, RequestBuilder, START, millis};
 
@@ -289,11 +289,7 @@
             }
         }
         self.requests.retain(|_, request| {
-            !request.finished
-                || request
-                    .attempts
-                    .iter()
-                    .any(|attempt| attempt.is_in_flight())
+            !request.finished || request.attempts.iter().any(SentAttempt::is_in_flight)
         });
     }
 
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -30,8 +30,9 @@
         if stage == Stage::Closing && client.connection.output.is_empty() {
             client.connection.end_sending();
         }
-        let is_starved = self.starved.contains(&key);
-        if must_be_served_again(client, stage, is_starved) {
+        // A starved connection is served again once buffers are free.
+        let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
+        if has_input_to_handle(client, stage) && !is_starved() {
             self.pending.push(key);
         }
         self.set_stage(key, stage, context.io);
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one. Some clients send one
-    /// request and never close their connection; without this limit they would hold all descriptors.
+    /// Closes the connection that has been idle for longest. Returns whether there was one. Some
+    /// clients send one request and never close their connection; without this limit they would
+    /// hold all descriptors.
     fn close_longest_idle(&mut self, context: &mut EventContext<'_>) -> bool {
         let has_sent_nothing = |key: &ClientKey| {
             self.connections
@@ -89,8 +91,8 @@
             return context.io.deadlines.set(owner, deadline);
         }
         if placement.stage != Stage::Closing && !client.connection.is_silent() {
-            // Received bytes were not read, for lack of buffers or because of the limit on reads: they may hold a
-            // whole request.
+            // Received bytes were not read, for lack of buffers or because of the limit on reads:
+            // they may hold a whole request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             return context.io.deadlines.set(owner, retry_at);
         }
@@ -110,7 +112,24 @@
         }
     }
 
-    /// Closes a connection; the policy learns that the client no longer waits for its pending request.
+    /// Closes the connection of the client that waits for the response to a request if the client
+    /// has disconnected, even if the event loop has not reported that yet.
+    pub fn close_if_disconnected(&mut self, id: RequestId, context: &mut EventContext<'_>) {
+        let waiting = self.requests.get_mut(id).and_then(|pending| pending.client);
+        let Some(key) = waiting else {
+            return;
+        };
+        let is_disconnected = self
+            .connections
+            .get(key)
+            .is_some_and(|client| client.connection.has_hung_up());
+        if is_disconnected {
+            self.close(key, context);
+        }
+    }
+
+    /// Closes a connection; the policy learns that the client no longer waits for its pending
+    /// request.
     pub(super) fn close(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         context.io.deadlines.clear(Owner::client(key));
         let Some(client) = self.connections.remove(key) else {
@@ -136,13 +155,13 @@
     }
 }
 
-/// There is input that can be handled in the next iteration without a report of the event loop.
-fn must_be_served_again(client: &ClientConnection, stage: Stage, is_starved: bool) -> bool {
+/// There is input that can be handled without a report of the event loop.
+fn has_input_to_handle(client: &ClientConnection, stage: Stage) -> bool {
     if stage == Stage::Closing {
         // Input beyond the limit is discarded only when the event loop reports more.
         return client.has_more_to_discard();
     }
-    client.takes_messages() && client.may_have_message() && !is_starved
+    client.takes_messages() && client.may_have_message()
 }
 
 /// When the time limit of a connection's stage expires; `None` if the stage has none.
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -1,4 +1,5 @@
-//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their server.
+//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their
+//! server.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -39,7 +40,9 @@
     let length = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(&[type_byte]);
     out.push(&(length as u32).to_be_bytes());
-    body.iter().for_each(|part| out.push(part));
+    for part in body {
+        out.push(part);
+    }
 }
 
 /// Writes the startup message to an endpoint.
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,5 +1,6 @@
-//! Writes snapshots of what the policy has learned. Records are collected in slices between iterations of the event
-//! loop. A separate thread encodes and writes them, because a disk may stall.
+//! Writes snapshots of what the policy has learned. Records are collected in slices between
+//! iterations of the event loop. A separate thread encodes and writes them, because a disk may
+//! stall.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -8,8 +9,8 @@
 //! | `restore` | restores the records of a snapshot that still count |
 //! | `directory` | what the proxy knows of endpoints besides the policy |
 //!
-//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no longer than
-//! configured; at most one snapshot waits for the thread.
+//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no
+//! longer than configured; at most one snapshot waits for the thread.
 
 mod background;
 mod collector;
@@ -39,6 +40,15 @@
 /// Priority of writing snapshots among the jobs of the scheduler, of which it is the only one.
 const PRIORITY: u8 = 1;
 
+/// The result of the last write that was waited for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteStatus {
+    /// The snapshot is on disk.
+    Written,
+    /// It failed, or there was none.
+    NotWritten,
+}
+
 /// Writes a snapshot at regular intervals and a final one at shutdown.
 pub struct SnapshotWriter {
     scheduler: Scheduler,
@@ -53,8 +63,9 @@
 }
 
 impl SnapshotWriter {
-    /// Locks the directory and starts the thread. Returns the writer and the newest complete snapshot. Returns `None`
-    /// if the directory cannot be used: that is logged, and the instance serves without snapshots.
+    /// Locks the directory and starts the thread. Returns the writer and the newest complete
+    /// snapshot. Returns `None` if the directory cannot be used: that is logged, and the instance
+    /// serves without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
@@ -125,7 +136,8 @@
         self.scheduler.next_wake_up(now)
     }
 
-    /// Writes the final snapshot, after all clients have their responses. Waits no longer than configured.
+    /// Writes the final snapshot, after all clients have their responses. Waits no longer than
+    /// configured.
     pub fn write_final(
         &mut self,
         directory: &EndpointDirectory<'_>,
@@ -133,27 +145,39 @@
         policy: &mut Balancer,
     ) {
         let deadline = Instant::now() + self.shutdown_timeout;
-        let time_remaining = || deadline.saturating_duration_since(Instant::now());
         let records = self.collection.collect_all(directory, now, policy);
-        // The thread would refuse the final snapshot while another one waits.
-        if self.background.has_pending()
-            && let Some(result) = self.background.wait_for_result(time_remaining())
-        {
-            self.record_result(result, now);
+        // The thread refuses the final snapshot while another one waits.
+        if self.wait_for_last_result(deadline, now).is_some() {
+            self.submit(records, now);
         }
-        self.submit(records, now);
+        match self.wait_for_last_result(deadline, now) {
+            None => log_lines::final_snapshot_timed_out(&self.log),
+            // The failure has been logged.
+            Some(WriteStatus::NotWritten) => {}
+            Some(WriteStatus::Written) => {
+                log_lines::final_snapshot_written(&self.log, self.longest_slice);
+            }
+        }
+    }
+
+    /// Waits until the thread has nothing left to write. Returns whether the last of these writes
+    /// succeeded, or `None` if the thread has not finished by the deadline.
+    fn wait_for_last_result(&mut self, deadline: Instant, now: Timestamp) -> Option<WriteStatus> {
+        let mut status = WriteStatus::NotWritten;
         while self.background.has_pending() {
-            let Some(result) = self.background.wait_for_result(time_remaining()) else {
-                log_lines::final_snapshot_timed_out(&self.log);
-                return;
+            let time_remaining = deadline.saturating_duration_since(Instant::now());
+            let result = self.background.wait_for_result(time_remaining)?;
+            status = match result {
+                Ok(_) => WriteStatus::Written,
+                Err(_) => WriteStatus::NotWritten,
             };
             self.record_result(result, now);
         }
-        log_lines::final_snapshot_written(&self.log, self.longest_slice);
+        Some(status)
     }
 
-    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots do not pile up in
-    /// memory while the disk stalls.
+    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots
+    /// do not pile up in memory while the disk stalls.
     fn submit(&mut self, records: Vec<Record>, now: Timestamp) {
         let write = PendingWrite {
             written_at: now,
