--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -82,7 +82,7 @@
     }
 
     /// Saves all but endpoints and outcomes.
-    pub fn save_rest(&mut self, sink: &mut dyn SnapshotSink) {
+    pub fn save_remaining_records(&mut self, sink: &mut dyn SnapshotSink) {
         if let Some(rollout) = self.rollout.current() {
             sink.rollout(RolloutRecord {
                 build: rollout.build,
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -74,7 +74,7 @@
                 None
             }
             Cursor::Rest => {
-                policy.save_rest(&mut sink);
+                policy.save_remaining_records(&mut sink);
                 self.cursor = Cursor::START;
                 // The file is cut at its maximum length: the records collected last are the most
                 // important ones.
