--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::concurrency_limit::{ConcurrencyLimit, LatencyRatio};
+use super::concurrency_limit::{ConcurrencyLimit, LimitSample};
 use crate::indexed_table::IndexedTable;
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, fractional_micros};
@@ -11,7 +11,7 @@
 /// for long, …
 const INITIAL_LIMIT: f64 = 6.0;
 /// … at one that returns to service after an ejection.
-const RETURN_LIMIT: f64 = 2.0;
+const LIMIT_AFTER_EJECTION: f64 = 2.0;
 /// … and at one that warms up.
 const WARMING_LIMIT: f64 = 1.0;
 /// Attempts from all instances together that each endpoint in service takes under any congestion:
@@ -19,7 +19,7 @@
 const MIN_ATTEMPTS_PER_ENDPOINT: f64 = 2.0;
 /// Time-outs are caused by the load of the fleet while more than one response in this number is
 /// slow.
-const OVERLOADED_FLEET_RESPONSES: f64 = 10.0;
+const OVERLOAD_RESPONSES_PER_SLOW: f64 = 10.0;
 
 /// The end of an attempt as far as concurrency limits depend on it.
 #[derive(Clone, Copy, Debug)]
@@ -72,7 +72,7 @@
 
     /// An endpoint has returned to service after an ejection.
     pub(crate) fn return_to_service(&mut self, index: EndpointIndex) {
-        self.endpoints[index] = ConcurrencyLimit::new(RETURN_LIMIT);
+        self.endpoints[index] = ConcurrencyLimit::new(LIMIT_AFTER_EJECTION);
     }
 
     /// Whether one more attempt is within the limit of an endpoint.
@@ -92,7 +92,7 @@
 
     /// The fleet is so slow that a time-out does not make its endpoint less likely to be chosen.
     pub(crate) fn fleet_is_overloaded(&self) -> bool {
-        self.total.more_than_one_slow_in(OVERLOADED_FLEET_RESPONSES)
+        self.total.exceeds_one_slow_per(OVERLOAD_RESPONSES_PER_SLOW)
     }
 
     /// An attempt has been sent.
@@ -108,11 +108,11 @@
     /// Adapts the limits to the end of an attempt. An instance with little traffic learns from all
     /// of its attempts together.
     pub(crate) fn record(&mut self, observed: &LatencyObservation, context: &StepContext) {
-        let is_evidence = matches!(
+        let shows_load = matches!(
             observed.outcome,
             AttemptOutcome::Succeeded | AttemptOutcome::Overloaded | AttemptOutcome::TimedOut
         );
-        if context.stalled || !is_evidence {
+        if context.stalled || !shows_load {
             return;
         }
         let ratio = if observed.outcome == AttemptOutcome::Succeeded {
@@ -120,29 +120,29 @@
         } else {
             1.0
         };
-        let at_endpoint = LatencyRatio {
+        let endpoint_sample = LimitSample {
             ratio,
             objective: observed.objective,
             in_flight: observed.endpoint_in_flight,
         };
-        self.endpoints[observed.endpoint].record(at_endpoint, context.now);
+        self.endpoints[observed.endpoint].record(endpoint_sample, context.now);
         if observed.outcome != AttemptOutcome::TimedOut {
-            let in_all = LatencyRatio {
+            let total_sample = LimitSample {
                 in_flight: self.in_flight,
-                ..at_endpoint
+                ..endpoint_sample
             };
-            self.total.record(in_all, context.now);
+            self.total.record(total_sample, context.now);
         }
     }
 
     /// Lowers the limit on all attempts to near what is in use.
-    pub(crate) fn lower_unused(&mut self) {
-        self.total.lower_unused(self.in_flight);
+    pub(crate) fn lower_idle_limit(&mut self) {
+        self.total.lower_idle_limit(self.in_flight);
     }
 
     /// Keeps the limit on all attempts at this instance's share of what endpoints take under any
     /// congestion. After a stall there is no limit, because a stall looks like congestion.
-    pub(crate) fn keep_minimum(&mut self, endpoints_in_service: usize, context: &StepContext) {
+    pub(crate) fn enforce_minimum(&mut self, endpoints_in_service: usize, context: &StepContext) {
         let instances = f64::from(context.settings.instance_count);
         let minimum = if context.stalled {
             f64::INFINITY
--- a/crates/policy/src/admission/load_shedding.rs
+++ b/crates/policy/src/admission/load_shedding.rs
@@ -33,16 +33,16 @@
 ) -> Admission {
     let settings = &context.settings;
     let route = &settings.routes[request.route.get()];
-    let is_late =
-        context.now + time_needed(expected, route.latency_objective) >= request.objective_deadline;
+    let is_late = context.now + required_time(expected, route.latency_objective)
+        >= request.objective_deadline;
     if !is_late && may_be_attempted() {
         return Admission::Serve;
     }
     if request.has_attempt_in_flight() {
         return Admission::AwaitAttempt;
     }
-    let may_be_sent_again = route.idempotency.is_safe_everywhere() || !request.may_have_executed();
-    if !may_be_sent_again {
+    let is_retry_safe = route.idempotency.is_safe_everywhere() || !request.may_have_executed();
+    if !is_retry_safe {
         return Admission::Fail;
     }
     let objective = whole_micros(route.latency_objective);
@@ -55,7 +55,7 @@
 /// The time that an attempt is expected to need with some reserve, and at most half the objective:
 /// otherwise congestion would have every request rejected on arrival, and no latency would be
 /// measured any more.
-fn time_needed(expected: Option<LatencyEstimate>, objective: Duration) -> Duration {
+fn required_time(expected: Option<LatencyEstimate>, objective: Duration) -> Duration {
     let expected = expected.map_or(0, |expected| expected.as_micros() as u64);
     Duration::from_micros((expected * 3 / 2).min(whole_micros(objective) / 2))
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -179,10 +179,10 @@
             self.evaluate(sink);
             self.cast_vote(sink);
             self.check_endpoints(sink);
-            self.limits.lower_unused();
+            self.limits.lower_idle_limit();
         }
         let in_service = self.health.in_service_count(&self.endpoints);
-        self.limits.keep_minimum(in_service, &self.context);
+        self.limits.enforce_minimum(in_service, &self.context);
         self.serve_requests(sink);
         self.schedule_wake_up(sink);
     }
@@ -398,7 +398,7 @@
         let started_at = endpoint.process.started_at;
         let warm_up_time = self.context.settings.warm_up_time;
         if started_at.is_some_and(|started_at| now - started_at < warm_up_time) {
-            self.slow_start.spend(index);
+            self.slow_start.consume_credit(index);
         }
         self.loads.start_attempt(index);
         self.health.start_attempt(index, now);
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -352,7 +352,7 @@
             outcome,
             AttemptOutcome::Refused | AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
         );
-        self.requests.resolve_crash(index, is_down);
+        self.requests.resolve_crash_suspicion(index, is_down);
         let ended = EndpointOutcome {
             endpoint: index,
             outcome,
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -21,7 +21,7 @@
 //! - the start of another process, which also resets the number of passes to `MIN_PASSES`.
 //!
 //! After a return, the endpoint's slowdown is forgotten, and its concurrency limit starts at
-//! `RETURN_LIMIT` = 2 (`admission`).
+//! `LIMIT_AFTER_EJECTION` = 2 (`admission`).
 //!
 //! A hedged request can hide an unresponsive endpoint: the attempt there is cancelled before it
 //! passes its objective.
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -52,14 +52,14 @@
         self.finished && !self.has_attempt_in_flight()
     }
 
-    /// Attempts that may have executed it, except for one.
-    pub(crate) fn executed_attempts(
+    /// Attempts that may have executed it, except for `ignored`.
+    pub(crate) fn possibly_executed_attempts(
         &self,
-        except: Option<AttemptIndex>,
+        ignored: Option<AttemptIndex>,
     ) -> impl Iterator<Item = &Attempt> {
         let attempts = self.attempts.iter().enumerate();
         let others = attempts
-            .filter(move |(position, _)| except.is_none_or(|excepted| excepted.get() != *position));
+            .filter(move |(position, _)| ignored.is_none_or(|ignored| ignored.get() != *position));
         others
             .map(|(_, attempt)| attempt)
             .filter(|attempt| attempt.may_have_executed())
--- a/crates/policy/src/requests/table.rs
+++ b/crates/policy/src/requests/table.rs
@@ -110,7 +110,7 @@
     }
 
     /// A health check has shown whether an endpoint runs that was suspected to have crashed.
-    pub(crate) fn resolve_crash(&mut self, endpoint: EndpointIndex, is_down: bool) {
+    pub(crate) fn resolve_crash_suspicion(&mut self, endpoint: EndpointIndex, is_down: bool) {
         for request in self.by_id.values_mut() {
             if request.crash_suspect == Some(endpoint) {
                 request.crash_suspect = None;
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -31,4 +31,4 @@
 
 pub(crate) use idempotency::{may_attempt, may_write};
 pub(crate) use key_builds::{KeyBuilds, PossibleAnswer};
-pub(crate) use timeouts::{AttemptTimeouts, is_late};
+pub(crate) use timeouts::{AttemptTimeouts, exceeds_time_limit};
--- a/crates/policy/src/retries/idempotency.rs
+++ b/crates/policy/src/retries/idempotency.rs
@@ -57,7 +57,9 @@
 
 impl Replay<'_> {
     fn is_allowed(&self, endpoints: &EndpointTable, context: &StepContext) -> bool {
-        let mut executed = self.request.executed_attempts(self.ignored_attempt);
+        let mut executed = self
+            .request
+            .possibly_executed_attempts(self.ignored_attempt);
         match context.settings.routes[self.request.route.get()].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => executed.next().is_none(),
@@ -77,11 +79,11 @@
     endpoint: &Endpoint,
     endpoints: &EndpointTable,
 ) -> bool {
-    let first = &endpoints[attempt.endpoint];
-    let same_process = first.process.started_at == attempt.process.started_at;
+    let earlier = &endpoints[attempt.endpoint];
+    let same_process = earlier.process.started_at == attempt.process.started_at;
     match scope {
         KeyScope::Fleet => true,
-        KeyScope::Zone => first.zone == endpoint.zone && same_process,
-        KeyScope::Cell => first.cell == endpoint.cell && same_process,
+        KeyScope::Zone => earlier.zone == endpoint.zone && same_process,
+        KeyScope::Cell => earlier.cell == endpoint.cell && same_process,
     }
 }
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -35,11 +35,14 @@
         context: &StepContext,
     ) {
         let PossibleAnswer { build, outcome } = answer;
-        let is_unanswered = matches!(
+        let cannot_have_answered = matches!(
             outcome,
             AttemptOutcome::Failed | AttemptOutcome::InvalidRequest
         );
-        if is_unanswered || outcome.never_executed() || !context.settings.monotonic_key_builds {
+        if cannot_have_answered
+            || outcome.never_executed()
+            || !context.settings.monotonic_key_builds
+        {
             return;
         }
         if let Some(key) = &request.idempotency_key {
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -10,7 +10,7 @@
 use crate::types::{RouteIndex, Timestamp, fractional_micros};
 
 /// An attempt has failed that takes longer than this multiple of its latency objective.
-const LATE_FACTOR: u32 = 2;
+const TIME_LIMIT_FACTOR: u32 = 2;
 /// The response of a first attempt may be lost, and a hedged request stays due from then on even
 /// under congestion, once it has taken this multiple of the baseline latency, and half its latency
 /// objective.
@@ -19,13 +19,13 @@
 const MIN_HEDGE_RESPONSES: f64 = 100.0;
 
 /// Whether an attempt of this age counts as failed, even if a response arrives later.
-pub(crate) fn is_late(age: Duration, objective: Duration) -> bool {
-    age > objective.saturating_mul(LATE_FACTOR)
+pub(crate) fn exceeds_time_limit(age: Duration, objective: Duration) -> bool {
+    age > objective.saturating_mul(TIME_LIMIT_FACTOR)
 }
 
 /// What the age of an attempt means for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct AttemptTimeout {
+pub(crate) struct TimeoutCheck {
     /// Its endpoint has not responded to anything since it was sent, and it has passed its latency
     /// objective.
     pub(crate) endpoint_is_unresponsive: bool,
@@ -43,7 +43,7 @@
     now: Timestamp,
     /// Baseline latency of each route for one unit of cost.
     expected_per_cost: IndexedTable<RouteIndex, LatencyEstimate>,
-    hedging: bool,
+    hedging_allowed: bool,
 }
 
 impl<'a> AttemptTimeouts<'a> {
@@ -56,13 +56,13 @@
         let expected_per_cost = latency.expected_per_cost(context.now);
         let settings = &context.settings;
         // Hedged requests add load, and are only of use if the first attempt can be cancelled.
-        let is_allowed = settings.cancel_attempts && settings.hedging;
-        let is_known = latency.known_responses() >= MIN_HEDGE_RESPONSES;
+        let is_enabled = settings.cancel_attempts && settings.hedging;
+        let has_enough_responses = latency.known_responses() >= MIN_HEDGE_RESPONSES;
         AttemptTimeouts {
             settings,
             now: context.now,
             expected_per_cost,
-            hedging: is_allowed && is_known && !is_congested,
+            hedging_allowed: is_enabled && has_enough_responses && !is_congested,
         }
     }
 
@@ -72,18 +72,24 @@
         &self,
         attempt: &mut WaitingAttempt<'_>,
         last_response_at: Timestamp,
-    ) -> AttemptTimeout {
+    ) -> TimeoutCheck {
         let objective = self.settings.routes[attempt.route.get()].latency_objective;
         let age = self.now - attempt.sent_at;
-        let is_late = is_late(age, objective);
-        let is_silent = last_response_at <= attempt.sent_at;
+        let is_late = exceeds_time_limit(age, objective);
+        let is_unresponsive = last_response_at <= attempt.sent_at;
         // An attempt at a silent endpoint keeps others from being sent for a shorter time.
-        let counts_until = if is_silent { objective / 2 } else { objective };
+        let counted_until = if is_unresponsive {
+            objective / 2
+        } else {
+            objective
+        };
         let is_finished = attempt.request_finished;
         let state = *attempt.state;
-        let timeout = AttemptTimeout {
-            endpoint_is_unresponsive: is_silent && age > objective && self.settings.health_checks,
-            counts_as_in_flight: age <= counts_until,
+        let timeout = TimeoutCheck {
+            endpoint_is_unresponsive: is_unresponsive
+                && age > objective
+                && self.settings.health_checks,
+            counts_as_in_flight: age <= counted_until,
             has_timed_out: !state.evidence_recorded && (is_late || state.hedge_due && is_finished),
             must_be_cancelled: !state.evidence_recorded
                 && is_finished
@@ -100,7 +106,7 @@
         age: Duration,
         objective: Duration,
     ) -> bool {
-        if !self.hedging || attempt.request_finished || !attempt.is_only_attempt {
+        if !self.hedging_allowed || attempt.request_finished || !attempt.is_only_attempt {
             return false;
         }
         let expected = self.expected_per_cost[attempt.route].as_micros();
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -9,7 +9,7 @@
 use crate::indexed_table::IndexedTable;
 use crate::latency::ClassBaseline;
 use crate::requests::Attempt;
-use crate::retries::is_late;
+use crate::retries::exceeds_time_limit;
 use crate::statistics::PerTest;
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, Timestamp, fractional_micros};
@@ -93,7 +93,7 @@
     let AttemptEvidence {
         attempt, outcome, ..
     } = *evidence;
-    let is_late = is_late(evidence.latency, evidence.objective);
+    let is_late = exceeds_time_limit(evidence.latency, evidence.objective);
     let is_slow = is_slow(evidence);
     if !is_evidence(evidence, is_slow, context.stalled) {
         return None;
@@ -132,7 +132,7 @@
     // responded to anything since.
     let is_unexplained = attempt.conditions.warm
         && (is_slow == Some(true) || evidence.endpoint.last_response_at <= attempt.sent_at);
-    let is_late = is_late(evidence.latency, evidence.objective);
+    let is_late = exceeds_time_limit(evidence.latency, evidence.objective);
     let time_counts = outcome.is_timed() && (is_unexplained || !is_late) && !stalled;
     attempt.conditions.past_start_up && (outcome.is_error() || time_counts)
 }
--- a/crates/policy/src/routing/candidates.rs
+++ b/crates/policy/src/routing/candidates.rs
@@ -19,7 +19,7 @@
     }
 
     /// The endpoints of one arm, or of the other where that one has none.
-    pub(super) fn into_arm(self, prefers_canary: bool) -> Vec<EndpointIndex> {
+    pub(super) fn into_preferred_arm(self, prefers_canary: bool) -> Vec<EndpointIndex> {
         let Candidates { released, canary } = self;
         let (first, second) = if prefers_canary {
             (canary, released)
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -23,12 +23,12 @@
 use crate::warm_up::{SlowStart, warm_up_fraction};
 
 /// The share of the remaining time within which an endpoint should usually respond.
-const TIME_SHARE: f64 = 0.6;
+const RESPONSE_TIME_SHARE: f64 = 0.6;
 /// This instance's zone is preferred while its slowdown is at most this multiple of the others', …
-const OWN_ZONE_RATIO: f64 = 0.8;
+const OWN_ZONE_SLOWDOWN_RATIO: f64 = 0.8;
 /// … plus this multiple of the price of crossing zones, which also adds to the cost of endpoints in
 /// other zones.
-const CROSSING_FACTOR: f64 = 10.0;
+const CROSS_ZONE_FACTOR: f64 = 10.0;
 /// No endpoint counts as faster than this.
 const MIN_SLOWDOWN: f64 = 0.1;
 
@@ -71,15 +71,15 @@
         request: &Request,
         lowest_build: BuildNumber,
     ) -> Option<EndpointIndex> {
-        let open = self.open_endpoints(request, lowest_build);
+        let eligible = self.eligible_endpoints(request, lowest_build);
         let time_limit = self.time_limit(request);
         let expected = self.expected_by_class(request);
         let mut candidates = Candidates::default();
-        let mut exposable = BTreeMap::new();
-        for index in open {
+        let mut exposure_allowed = BTreeMap::new();
+        for index in eligible {
             let endpoint = &self.inputs.view.endpoints[index];
             let build = endpoint.build();
-            let may_expose = *exposable
+            let may_expose = *exposure_allowed
                 .entry(build)
                 .or_insert_with(|| self.may_expose(build, request.route));
             if !may_expose {
@@ -103,14 +103,14 @@
         // The arms are chosen by the number of their warm endpoints. Warming endpoints have had
         // their chance, and would leave their share to the warm ones of their build.
         let prefers_canary = self.context.random.rand_float() < candidates.canary_share();
-        let arm = candidates.into_arm(prefers_canary);
-        self.choose_of_two(&arm)
+        let arm = candidates.into_preferred_arm(prefers_canary);
+        self.choose_cheaper_of_two(&arm)
     }
 
     /// The latency that an endpoint should usually keep.
     fn time_limit(&self, request: &Request) -> LatencyEstimate {
         let remaining = request.objective_deadline.micros_since(self.context.now);
-        LatencyEstimate::from_micros(TIME_SHARE * remaining as f64)
+        LatencyEstimate::from_micros(RESPONSE_TIME_SHARE * remaining as f64)
     }
 
     /// How long the request usually takes at present, by hardware class.
@@ -129,22 +129,30 @@
 
     /// Endpoints that may take the request; of these the ones to which it has not been sent, if
     /// there are any.
-    fn open_endpoints(&self, request: &Request, lowest_build: BuildNumber) -> Vec<EndpointIndex> {
+    fn eligible_endpoints(
+        &self,
+        request: &Request,
+        lowest_build: BuildNumber,
+    ) -> Vec<EndpointIndex> {
         let endpoints = self.inputs.view.endpoints;
         let panic_mode = self.inputs.health.all_ejected(endpoints);
-        let is_open = |index: EndpointIndex, endpoint: &Endpoint| {
+        let is_eligible = |index: EndpointIndex, endpoint: &Endpoint| {
             self.has_capacity(index, panic_mode)
                 && endpoint.build() >= lowest_build
                 && may_attempt(request, endpoint, endpoints, self.context)
         };
-        let open: Vec<EndpointIndex> = endpoints
+        let eligible: Vec<EndpointIndex> = endpoints
             .ready()
-            .filter(|(index, endpoint)| is_open(*index, endpoint))
+            .filter(|(index, endpoint)| is_eligible(*index, endpoint))
             .map(|(index, _)| index)
             .collect();
         let is_untried = |index: &EndpointIndex| !request.was_sent_to(*index);
-        let untried: Vec<EndpointIndex> = open.iter().copied().filter(is_untried).collect();
-        if untried.is_empty() { open } else { untried }
+        let untried: Vec<EndpointIndex> = eligible.iter().copied().filter(is_untried).collect();
+        if untried.is_empty() {
+            eligible
+        } else {
+            untried
+        }
     }
 
     /// Health and concurrency limit of an endpoint allow one more attempt.
@@ -181,24 +189,24 @@
         time_limit: LatencyEstimate,
     ) {
         let endpoints = self.inputs.view.endpoints;
-        let is_fast =
+        let is_fast_enough =
             |index: &EndpointIndex| expected[endpoints[*index].hardware_class] <= time_limit;
-        if arm.iter().any(is_fast) {
-            arm.retain(is_fast);
+        if arm.iter().any(is_fast_enough) {
+            arm.retain(is_fast_enough);
         }
     }
 
     /// The one with the lower cost of two drawn at random, the first of them from this instance's
     /// zone unless that zone is so slow that crossing is worth its price.
-    fn choose_of_two(&mut self, arm: &[EndpointIndex]) -> Option<EndpointIndex> {
+    fn choose_cheaper_of_two(&mut self, arm: &[EndpointIndex]) -> Option<EndpointIndex> {
         if arm.is_empty() {
             return None;
         }
         let own_zone = self.in_own_zone(arm);
         let prefers_own = self.prefers_own_zone() && !own_zone.is_empty();
         let first_pool = if prefers_own { &own_zone } else { arm };
-        let first = draw(&mut self.context.random, first_pool);
-        let second = draw(&mut self.context.random, arm);
+        let first = choose_random(&mut self.context.random, first_pool);
+        let second = choose_random(&mut self.context.random, arm);
         let second_cost = self.endpoint_cost(second);
         let second_is_better = second_cost < self.endpoint_cost(first);
         Some(if second_is_better { second } else { first })
@@ -212,7 +220,8 @@
 
     fn prefers_own_zone(&mut self) -> bool {
         let slowdowns = self.inputs.latency.zone_slowdowns(self.context.now);
-        let ratio = OWN_ZONE_RATIO + CROSSING_FACTOR * self.context.settings.cross_zone_price;
+        let ratio =
+            OWN_ZONE_SLOWDOWN_RATIO + CROSS_ZONE_FACTOR * self.context.settings.cross_zone_price;
         slowdowns.own <= ratio * slowdowns.other
     }
 
@@ -223,14 +232,15 @@
         let endpoint = endpoints.classed(index);
         let load = self.inputs.loads.load(endpoint, now);
         let slowdown = self.inputs.latency.slowdown(endpoint, now);
-        let crossing = f64::from(endpoints[index].in_other_zone);
-        let price = 1.0 + crossing * CROSSING_FACTOR * self.context.settings.cross_zone_price;
+        let zones_crossed = f64::from(endpoints[index].in_other_zone);
+        let price =
+            1.0 + zones_crossed * CROSS_ZONE_FACTOR * self.context.settings.cross_zone_price;
         let relative_load = (load.in_flight + 1.0) / (load.class_mean + 1.0);
         relative_load * slowdown.max(MIN_SLOWDOWN) * price
     }
 }
 
 /// One member of a pool that is not empty.
-fn draw(random: &mut Rand64, pool: &[EndpointIndex]) -> EndpointIndex {
+fn choose_random(random: &mut Rand64, pool: &[EndpointIndex]) -> EndpointIndex {
     pool[(random.rand_u64() % pool.len() as u64) as usize]
 }
--- a/crates/policy/src/warm_up.rs
+++ b/crates/policy/src/warm_up.rs
@@ -4,7 +4,7 @@
 //!
 //! An instance earns requests for a warming endpoint at this rate:
 //!
-//! `BUDGET_SHARE` 0.65 × setting `overload_multiple` × warm-up fraction × requests a second that a
+//! `CAPACITY_SHARE` 0.65 × setting `overload_multiple` × warm-up fraction × requests a second that a
 //! warm endpoint of the hardware class serves for this instance
 //!
 //! - The warm-up fraction rises linearly from the setting `warm_up_start` to 1 over `warm_up_time`.
@@ -15,7 +15,7 @@
 //!
 //! A request goes to a warming endpoint first (`routing`), as soon as one is earned, if the
 //! endpoint's concurrency limit has room, which starts at `WARMING_LIMIT` = 1 and adapts
-//! (`admission`), if it is expected to respond within `TIME_SHARE` = 0.6 of the remaining time
+//! (`admission`), if it is expected to respond within `RESPONSE_TIME_SHARE` = 0.6 of the remaining time
 //! times the warm-up fraction, and if rule 5 allows its build.
 
 mod capacity;
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -7,7 +7,7 @@
 use crate::types::{HardwareClassIndex, Timestamp};
 
 /// Over what time the rates are averaged.
-const TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
+const RATE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
 /// Ready time of endpoints that is needed to measure a rate.
 const MIN_READY_SECONDS: f64 = 1.0;
 
@@ -20,8 +20,8 @@
 impl CapacityMeter {
     /// Makes room for a hardware class unless it is known.
     pub(super) fn add_class(&mut self, class: HardwareClassIndex) {
-        let unknown = DecayingMean::new(TIME_CONSTANT);
-        self.classes.put_if_absent(class, unknown);
+        let empty = DecayingMean::new(RATE_TIME_CONSTANT);
+        self.classes.put_if_absent(class, empty);
     }
 
     /// A warm endpoint has responded.
@@ -49,7 +49,11 @@
 
     /// Responses a second of a warm endpoint of this hardware class, or else of any class, where
     /// enough is known.
-    pub(super) fn measured(&mut self, class: HardwareClassIndex, now: Timestamp) -> Option<f64> {
+    pub(super) fn responses_per_second(
+        &mut self,
+        class: HardwareClassIndex,
+        now: Timestamp,
+    ) -> Option<f64> {
         let sums: Vec<WeightedSum> = self
             .classes
             .iter_mut()
@@ -61,10 +65,10 @@
                 sum: all.sum + class.sum,
                 weight: all.weight + class.weight,
             });
-        let candidates = [sums[class.get()], all];
-        let measured = candidates
+        let by_preference = [sums[class.get()], all];
+        let known = by_preference
             .into_iter()
             .find(|sums| sums.weight >= MIN_READY_SECONDS);
-        measured.map(|sums| sums.sum / sums.weight)
+        known.map(|sums| sums.sum / sums.weight)
     }
 }
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -10,7 +10,7 @@
 use crate::types::{EndpointIndex, HardwareClassIndex, Timestamp, fractional_micros};
 
 /// The share that is used of what a warming endpoint can take from all instances together.
-const BUDGET_SHARE: f64 = 0.65;
+const CAPACITY_SHARE: f64 = 0.65;
 /// Over what time the rate of arriving requests is averaged, and for how long it counts as measured
 /// at least.
 const ARRIVALS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
@@ -41,11 +41,11 @@
 }
 
 impl SlowStartCredit {
-    /// Adds what has been earned since the last time, up to a maximum; the rate is in requests a
+    /// Adds what has been accrued since the last time, up to a maximum; the rate is in requests a
     /// microsecond.
-    fn earn(&mut self, rate: f64, maximum: f64, now: Timestamp) {
-        let earned = rate * now.micros_since(self.updated_at) as f64;
-        self.requests = (self.requests + earned).min(maximum);
+    fn accrue(&mut self, rate: f64, maximum: f64, now: Timestamp) {
+        let accrued = rate * now.micros_since(self.updated_at) as f64;
+        self.requests = (self.requests + accrued).min(maximum);
         self.updated_at = now;
     }
 }
@@ -93,15 +93,15 @@
         context: &StepContext,
     ) {
         let instance_count = context.settings.instance_count;
-        let turn = (name_rank as u32 + context.settings.instance_index) % instance_count;
+        let offset = (name_rank as u32 + context.settings.instance_index) % instance_count;
         self.credits[index] = SlowStartCredit {
-            requests: f64::from(turn) / f64::from(instance_count),
+            requests: f64::from(offset) / f64::from(instance_count),
             updated_at: context.now,
         };
     }
 
     /// A request has been sent to a warming endpoint.
-    pub(crate) fn spend(&mut self, index: EndpointIndex) {
+    pub(crate) fn consume_credit(&mut self, index: EndpointIndex) {
         self.credits[index].requests -= 1.0;
     }
 
@@ -122,7 +122,7 @@
 
     /// Whether this instance may send a request to a warming endpoint now.
     ///
-    /// Its share of what the endpoint can take is earned over time and may be used once it amounts
+    /// Its share of what the endpoint can take is accrued over time and may be used once it amounts
     /// to a request. The rate at which warm endpoints of the class serve this instance stands in
     /// for the capacity, so that the shares of all instances add up to it however unevenly traffic
     /// is spread over them.
@@ -135,11 +135,11 @@
         let fraction = warm_up_fraction(&endpoints[endpoint.index], context);
         let capacity = self.capacity(endpoint.class, endpoints, context);
         let multiple = context.settings.overload_multiple;
-        let rate = BUDGET_SHARE * multiple * fraction * capacity / MICROS_PER_SECOND;
+        let rate = CAPACITY_SHARE * multiple * fraction * capacity / MICROS_PER_SECOND;
         let window = fractional_micros(context.settings.overload_window);
         let maximum = 1.0 + rate * window * MAX_CREDIT_WINDOW_FRACTION;
         let slow_start_credit = &mut self.credits[endpoint.index];
-        slow_start_credit.earn(rate, maximum, context.now);
+        slow_start_credit.accrue(rate, maximum, context.now);
         slow_start_credit.requests >= 1.0
     }
 
@@ -151,7 +151,7 @@
         endpoints: &EndpointTable,
         context: &StepContext,
     ) -> f64 {
-        let measured = self.capacity.measured(class, context.now);
+        let measured = self.capacity.responses_per_second(class, context.now);
         measured.unwrap_or_else(|| {
             let ready = endpoints.ready().count().max(1);
             let arrivals = self.arrivals.per_second(context.lifetime(), context.now);
