--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -4,7 +4,7 @@
 use crate::rollout::FleetBaseline;
 use crate::settings::Settings;
 use crate::snapshot::{
-    EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, REJECTION_MEMORY,
+    EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, REJECTION_LIFETIME,
     RolloutRecord, RouteRecord, SnapshotSink, ZoneSlowdownSums,
 };
 use crate::statistics::{Arm, OutcomeCounts, OutcomeKey, PerTest, WeightedSum};
@@ -96,7 +96,7 @@
             sink.key_build(key, build);
         }
         let now = self.context.now;
-        if let Some(rejection) = self.evaluator.last_rejection(REJECTION_MEMORY, now) {
+        if let Some(rejection) = self.evaluator.last_rejection(REJECTION_LIFETIME, now) {
             sink.rejected_build(rejection.build, rejection.rejected_at);
         }
         self.save_hardware_classes(sink);
@@ -246,7 +246,7 @@
 
     /// Restores that a build was rejected before the restart.
     pub fn restore_rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
-        let until = rejected_at.min(self.context.now) + REJECTION_MEMORY;
+        let until = rejected_at.min(self.context.now) + REJECTION_LIFETIME;
         self.evaluator.restore_rejection(build, until);
     }
 }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -133,6 +133,6 @@
     let is_unexplained = attempt.conditions.warm
         && (is_slow == Some(true) || evidence.endpoint.last_response_at <= attempt.sent_at);
     let is_late = is_late(evidence.latency, evidence.objective);
-    let time_counts = outcome.is_timed() && (is_unexplained || !is_late) && !stalled;
+    let time_counts = outcome.measures_latency() && (is_unexplained || !is_late) && !stalled;
     attempt.conditions.past_start_up && (outcome.is_error() || time_counts)
 }
--- a/crates/policy/src/rollout/status.rs
+++ b/crates/policy/src/rollout/status.rs
@@ -93,7 +93,8 @@
 
     /// The newest build is being taken out or has been, or no rollout is known.
     pub(crate) fn is_ending(&self) -> bool {
-        self.current.is_none_or(|rollout| rollout.phase.is_ending())
+        self.current
+            .is_none_or(|rollout| rollout.phase.is_rollback())
     }
 
     /// Whether a build counts as under evaluation: the platform has not announced it, or not as
--- a/crates/policy/src/rollout/verdict.rs
+++ b/crates/policy/src/rollout/verdict.rs
@@ -5,7 +5,7 @@
 use super::parameters::{ALPHA, BETA};
 use super::status::Rollout;
 use crate::statistics::{Arm, WaldBounds};
-use crate::types::{EvidenceTest, FailureShare, RollbackVerdict};
+use crate::types::{EvidenceTest, FailureCounts, RollbackVerdict};
 
 /// The result of a test that has passed its bound.
 #[derive(Clone, Copy, Debug)]
@@ -30,8 +30,8 @@
         build: rollout.build,
         stage: rollout.stage,
         test: result.test,
-        candidate: failure_share(arms.candidate),
-        baseline: failure_share(arms.baseline),
+        candidate: failure_counts(arms.candidate),
+        baseline: failure_counts(arms.baseline),
         restored_outcomes: evidence.counted_restored_outcomes(result.test),
         score: result.score,
         bound: result.bounds.upper,
@@ -41,8 +41,8 @@
     }
 }
 
-fn failure_share(arm: Arm) -> FailureShare {
-    FailureShare {
+fn failure_counts(arm: Arm) -> FailureCounts {
+    FailureCounts {
         failures: arm.failures,
         outcomes: arm.outcomes,
     }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -12,7 +12,7 @@
 
 /// For this long a restarted instance counts a build that was rejected before as suspect: its score
 /// counts as positive, so that the instance holds it at each stage as long as a hold may last.
-pub const REJECTION_MEMORY: Duration = Duration::from_secs(60);
+pub const REJECTION_LIFETIME: Duration = Duration::from_secs(60);
 
 /// A value for this instance's zone and one for all other zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -17,5 +17,5 @@
 pub use request::{AttemptOutcome, AttemptResult, IncomingRequest};
 pub use rollout::{RolloutPhase, RolloutStatus};
 pub use time::{Timestamp, fractional_micros, whole_micros};
-pub use verdict::{EvidenceTest, FailureShare, RollbackVerdict};
+pub use verdict::{EvidenceTest, FailureCounts, RollbackVerdict};
 pub use vote::{Ballot, Vote, VoteResult};
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -57,7 +57,7 @@
     }
 
     /// The duration of the attempt shows how fast the endpoint is.
-    pub fn is_timed(self) -> bool {
+    pub fn measures_latency(self) -> bool {
         use AttemptOutcome::{Succeeded, TimedOut};
         matches!(self, Succeeded | TimedOut)
     }
--- a/crates/policy/src/types/rollout.rs
+++ b/crates/policy/src/types/rollout.rs
@@ -24,7 +24,7 @@
     }
 
     /// The build is being taken out, or has been.
-    pub fn is_ending(self) -> bool {
+    pub fn is_rollback(self) -> bool {
         matches!(self, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
     }
 
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -32,7 +32,7 @@
 
 /// Failures among outcomes. Both are decaying counts, so they need not be whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FailureShare {
+pub struct FailureCounts {
     /// Outcomes that count as failures in the test at hand.
     pub failures: f64,
     /// All outcomes.
@@ -50,10 +50,10 @@
     pub test: EvidenceTest,
     /// Outcomes of the build, including those restored from a snapshot; in the test of the fleet,
     /// of the endpoints with the smallest shares of slow responses, whatever build they run.
-    pub candidate: FailureShare,
+    pub candidate: FailureCounts,
     /// Outcomes with which it is compared, including those that are added
     /// to the fleet baseline and to a baseline without endpoints in service.
-    pub baseline: FailureShare,
+    pub baseline: FailureCounts,
     /// Outcomes of the build from before this instance's restart.
     pub restored_outcomes: f64,
     /// The score, less the evidence margin and the margin for the number of instances.
