--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -61,7 +61,7 @@
     }
 
     /// Another process runs at an endpoint.
-    pub(crate) fn start_process(&mut self, index: EndpointIndex, warms_up: bool) {
+    pub(crate) fn record_process_start(&mut self, index: EndpointIndex, warms_up: bool) {
         let limit = if warms_up {
             WARMING_LIMIT
         } else {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -15,7 +15,7 @@
 use crate::endpoints::{EndpointLoads, EndpointTable};
 use crate::health::HealthChecker;
 use crate::host::DecisionSink;
-use crate::latency::{LatencyModel, Work};
+use crate::latency::{LatencyModel, RequestWork};
 use crate::requests::{Attempt, AttemptConditions, Request, RequestTable};
 use crate::retries::{AttemptTimeouts, KeyBuilds, may_attempt};
 use crate::rollout::{
@@ -304,11 +304,11 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        let work = Work {
+        let work = RequestWork {
             route: request.route,
             cost: request.cost,
         };
-        let expected = self.latency.expected(work, self.context.now);
+        let expected = self.latency.expected_latency(work, self.context.now);
         let endpoints = &self.endpoints;
         let context = &self.context;
         let may_be_attempted = || {
@@ -356,7 +356,7 @@
     /// The conditions under which an attempt at an endpoint is sent now.
     fn attempt_conditions(&mut self, index: EndpointIndex) -> AttemptConditions {
         let now = self.context.now;
-        let load = self.loads.load(self.endpoints.classed(index), now);
+        let load = self.loads.load(self.endpoints.with_class(index), now);
         let rollout = self.rollout.current();
         let newest = rollout.map_or(BuildNumber::new(u32::MAX), |rollout| rollout.build);
         let fleet = FleetState {
@@ -423,7 +423,7 @@
             let next = self.requests.next_missed_objective(now);
             next.map_or(SWEEP_INTERVAL, |next| SWEEP_INTERVAL.min(next - now))
         };
-        if self.schedule.wake_up_after(pause, now) {
+        if self.schedule.update_wake_up(pause, now) {
             sink.schedule_wake_up(pause);
         }
     }
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -4,9 +4,9 @@
 
 use super::{Balancer, TimedOutAttempt};
 use crate::admission::{LatencyObservation, RequestCost};
-use crate::endpoints::ListedChange;
+use crate::endpoints::EndpointUpdate;
 use crate::health::{EndpointOutcome, HealthChange};
-use crate::latency::{BaselineLearning, LatencySample, Work};
+use crate::latency::{BaselineLearning, LatencySample, RequestWork};
 use crate::requests::{Attempt, Request};
 use crate::retries::{PossibleAnswer, may_write};
 use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer, RolloutView};
@@ -21,7 +21,7 @@
 impl Balancer {
     /// A complete endpoint list begins: endpoints that it does not name have been removed.
     pub fn on_complete_endpoint_list(&mut self) {
-        self.endpoints.remove_all();
+        self.endpoints.mark_all_removed();
     }
 
     /// An entry of the endpoint list.
@@ -33,7 +33,7 @@
             self.add_endpoint(change.endpoint.index);
         }
         if change.is_new_process {
-            self.start_process(change);
+            self.record_process_start(change);
         }
     }
 
@@ -56,19 +56,19 @@
 
     /// Another process runs at an endpoint. One that was restarted lately can do less than its full
     /// capacity, so it starts slowly.
-    fn start_process(&mut self, change: ListedChange) {
+    fn record_process_start(&mut self, change: EndpointUpdate) {
         let index = change.endpoint.index;
         let now = self.context.now;
         let started_at = self.endpoints[index].process.started_at;
         let warm_up_time = self.context.settings.warm_up_time;
         let warms_up = started_at.is_some_and(|started_at| now < started_at + warm_up_time);
         let name_rank = self.endpoints.name_rank(index);
-        self.loads.start_process(index);
-        self.health.start_process(index, now);
-        self.latency.forget_endpoint(index);
-        self.limits.start_process(index, warms_up);
+        self.loads.record_process_start(index);
+        self.health.record_process_start(index, now);
+        self.latency.clear_slowdown(index);
+        self.limits.record_process_start(index, warms_up);
         self.slow_start
-            .start_process(index, name_rank, &self.context);
+            .record_process_start(index, name_rank, &self.context);
     }
 
     /// A poll of the endpoint list has failed.
@@ -90,11 +90,11 @@
         self.slow_start.record_arrival(now);
         let settings = &self.context.settings.routes[route.get()];
         let cost = RequestCost::new(settings, incoming.cost_hint);
-        let work = Work {
+        let work = RequestWork {
             route,
             cost: cost.cost,
         };
-        let expected = self.latency.expected(work, now);
+        let expected = self.latency.expected_latency(work, now);
         let deadline = (now + incoming.time_remaining).min(self.shutdown_deadline);
         let request = Request {
             route,
@@ -187,7 +187,7 @@
         if !attempt.evidence_recorded() {
             self.record_evidence(id, outcome, duration);
         }
-        let endpoint = self.endpoints.classed(index);
+        let endpoint = self.endpoints.with_class(index);
         self.loads
             .record_report(endpoint, result.load, self.context.now);
         self.loads.end_attempt(index);
@@ -238,11 +238,11 @@
         let Some(attempt) = request.attempt(id.index) else {
             return;
         };
-        let work = Work {
+        let work = RequestWork {
             route: request.route,
             cost: request.cost,
         };
-        let endpoint = self.endpoints.classed(attempt.endpoint);
+        let endpoint = self.endpoints.with_class(attempt.endpoint);
         let observation = EndpointObservation {
             load: self.loads.load(endpoint, now).in_flight,
             class_baseline: self.latency.class_baseline(endpoint.class, work, now),
@@ -268,11 +268,11 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let endpoint = self.endpoints.classed(attempt.endpoint);
+        let endpoint = self.endpoints.with_class(attempt.endpoint);
         let sample = LatencySample {
             endpoint,
             in_other_zone: self.endpoints[attempt.endpoint].in_other_zone,
-            work: Work {
+            work: RequestWork {
                 route: request.route,
                 cost: request.cost,
             },
@@ -314,7 +314,7 @@
         match change {
             HealthChange::None => {}
             HealthChange::ReturnedToService => {
-                self.latency.forget_endpoint(endpoint);
+                self.latency.clear_slowdown(endpoint);
                 self.limits.return_to_service(endpoint);
             }
         }
@@ -347,7 +347,7 @@
         };
         let now = self.context.now;
         self.loads
-            .record_report(self.endpoints.classed(index), load, now);
+            .record_report(self.endpoints.with_class(index), load, now);
         let is_down = matches!(
             outcome,
             AttemptOutcome::Refused | AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -30,7 +30,7 @@
     fn save_endpoint(&mut self, index: EndpointIndex, sink: &mut dyn SnapshotSink) {
         let slowdown = self.latency.endpoint_sums(index, self.context.now);
         let endpoint = &self.endpoints[index];
-        if !endpoint.is_listed() || !self.endpoints.is_named(index) {
+        if !endpoint.is_listed() || !self.endpoints.is_in_use(index) {
             return;
         }
         let reported = self.loads.reported(index);
@@ -44,7 +44,7 @@
             started_at: endpoint.process.started_at,
             slowdown,
             reported_load: reported.in_flight,
-            reported_at: reported.at,
+            reported_at: reported.reported_at,
             ejected: self.health.is_ejected(index),
         });
     }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -4,6 +4,6 @@
 mod load;
 mod table;
 
-pub(crate) use endpoint::{ClassedEndpoint, Endpoint, Process};
+pub(crate) use endpoint::{Endpoint, EndpointWithClass, Process};
 pub(crate) use load::EndpointLoads;
-pub(crate) use table::{EndpointTable, ListedChange};
+pub(crate) use table::{EndpointTable, EndpointUpdate};
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::types::{BuildNumber, EndpointIndex, EndpointState, HardwareClassIndex, Timestamp};
 
 /// The start of a process that no list has named yet: it differs from every other.
-const NEVER_STARTED: Option<Timestamp> = Some(Timestamp::MAX);
+const UNKNOWN_PROCESS_START: Option<Timestamp> = Some(Timestamp::MAX);
 
 /// Tells a process from others under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 
 /// An endpoint and its hardware class, for statistics that are kept of both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ClassedEndpoint {
+pub(crate) struct EndpointWithClass {
     /// The endpoint.
     pub(crate) index: EndpointIndex,
     /// Its hardware class.
@@ -53,7 +53,7 @@
             cell: 0,
             process: Process {
                 build: BuildNumber::default(),
-                started_at: NEVER_STARTED,
+                started_at: UNKNOWN_PROCESS_START,
             },
             state: EndpointState::Removed,
         }
--- a/crates/policy/src/endpoints/load.rs
+++ b/crates/policy/src/endpoints/load.rs
@@ -1,7 +1,7 @@
 //! Load of endpoints: this instance's attempts in flight, and what endpoints report of requests
 //! from all instances.
 
-use super::endpoint::ClassedEndpoint;
+use super::endpoint::EndpointWithClass;
 use crate::indexed_table::IndexedTable;
 use crate::statistics::{DecayingMean, TimeConstant, WeightedSum};
 use crate::types::{EndpointIndex, HardwareClassIndex, LoadReport, Timestamp};
@@ -11,7 +11,7 @@
 /// How fast an endpoint's own report is replaced by the mean of its hardware class.
 const REPORT_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
 /// Keeps the mean of a class without reports finite.
-const MIN_REPORTS: f64 = 1e-9;
+const MIN_REPORT_WEIGHT: f64 = 1e-9;
 
 /// The last load report of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,7 +19,7 @@
     /// Requests in flight there, from all instances.
     pub(crate) in_flight: f64,
     /// When it was reported.
-    pub(crate) at: Timestamp,
+    pub(crate) reported_at: Timestamp,
 }
 
 /// Requests that an endpoint executes.
@@ -59,7 +59,7 @@
     }
 
     /// Another process runs at an endpoint.
-    pub(crate) fn start_process(&mut self, index: EndpointIndex) {
+    pub(crate) fn record_process_start(&mut self, index: EndpointIndex) {
         self.endpoints[index].reported = ReportedLoad::default();
     }
 
@@ -86,23 +86,26 @@
     /// Records an endpoint's report of its load, for it and for its hardware class.
     pub(crate) fn record_report(
         &mut self,
-        endpoint: ClassedEndpoint,
+        endpoint: EndpointWithClass,
         report: Option<LoadReport>,
         now: Timestamp,
     ) {
         let Some(in_flight) = report.and_then(|report| report.in_flight.or(report.queued)) else {
             return;
         };
-        self.endpoints[endpoint.index].reported = ReportedLoad { in_flight, at: now };
+        self.endpoints[endpoint.index].reported = ReportedLoad {
+            in_flight,
+            reported_at: now,
+        };
         self.classes[endpoint.class].add(in_flight, now);
     }
 
     /// Load of an endpoint; an old report is replaced by the mean of its hardware class.
-    pub(crate) fn load(&mut self, endpoint: ClassedEndpoint, now: Timestamp) -> EndpointLoad {
+    pub(crate) fn load(&mut self, endpoint: EndpointWithClass, now: Timestamp) -> EndpointLoad {
         let reports = self.classes[endpoint.class].read(now);
-        let class_mean = reports.sum / reports.weight.max(MIN_REPORTS);
+        let class_mean = reports.sum / reports.weight.max(MIN_REPORT_WEIGHT);
         let state = self.endpoints[endpoint.index];
-        let freshness = REPORT_TIME_CONSTANT.remaining_between(state.reported.at, now);
+        let freshness = REPORT_TIME_CONSTANT.remaining_between(state.reported.reported_at, now);
         let reported = class_mean + (state.reported.in_flight - class_mean) * freshness;
         EndpointLoad {
             in_flight: reported.max(state.in_flight),
--- a/crates/policy/src/endpoints/table.rs
+++ b/crates/policy/src/endpoints/table.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::ops::Index;
 
-use super::endpoint::{ClassedEndpoint, Endpoint, Process};
+use super::endpoint::{Endpoint, EndpointWithClass, Process};
 use crate::types::{BuildNumber, EndpointEntry, EndpointIndex, EndpointState, HardwareClassIndex};
 
 /// What an entry of the endpoint list has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ListedChange {
+pub(crate) struct EndpointUpdate {
     /// The endpoint and its hardware class, which may be new.
-    pub(crate) endpoint: ClassedEndpoint,
+    pub(crate) endpoint: EndpointWithClass,
     /// Its index was not in use before the entry.
     pub(crate) is_new: bool,
     /// Another process runs there than before.
@@ -30,7 +30,7 @@
 
 impl EndpointTable {
     /// Takes one entry of the endpoint list.
-    pub(crate) fn update(&mut self, entry: &EndpointEntry<'_>, own_zone: &str) -> ListedChange {
+    pub(crate) fn update(&mut self, entry: &EndpointEntry<'_>, own_zone: &str) -> EndpointUpdate {
         let hardware_class = self.find_or_insert_class(entry.hardware_class);
         let existing = self.find(entry.name);
         let index = existing.unwrap_or_else(|| self.insert(entry.name));
@@ -46,8 +46,8 @@
         endpoint.hardware_class = hardware_class;
         endpoint.process = process;
         endpoint.state = entry.state;
-        ListedChange {
-            endpoint: ClassedEndpoint {
+        EndpointUpdate {
+            endpoint: EndpointWithClass {
                 index,
                 class: hardware_class,
             },
@@ -57,7 +57,7 @@
     }
 
     /// A complete list begins: endpoints that it does not name have been removed.
-    pub(crate) fn remove_all(&mut self) {
+    pub(crate) fn mark_all_removed(&mut self) {
         for endpoint in &mut self.slots {
             endpoint.state = EndpointState::Removed;
         }
@@ -66,7 +66,7 @@
     /// Adds a name that is not known; it takes the first index that is free.
     fn insert(&mut self, name: &str) -> EndpointIndex {
         let endpoint = Endpoint::new(name);
-        let is_free = |index: &EndpointIndex| !self.is_named(*index);
+        let is_free = |index: &EndpointIndex| !self.is_in_use(*index);
         let index = self.indexes().find(is_free);
         let index = index.unwrap_or(EndpointIndex::new(self.slots.len()));
         match self.slots.get_mut(index.get()) {
@@ -136,13 +136,13 @@
     }
 
     /// An endpoint with its hardware class.
-    pub(crate) fn classed(&self, index: EndpointIndex) -> ClassedEndpoint {
+    pub(crate) fn with_class(&self, index: EndpointIndex) -> EndpointWithClass {
         let class = self[index].hardware_class;
-        ClassedEndpoint { index, class }
+        EndpointWithClass { index, class }
     }
 
     /// Whether this index still belongs to the name that is stored there.
-    pub(crate) fn is_named(&self, index: EndpointIndex) -> bool {
+    pub(crate) fn is_in_use(&self, index: EndpointIndex) -> bool {
         self.find(&self[index].name) == Some(index)
     }
 
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -3,7 +3,7 @@
 //!
 //! What ejects an endpoint, where the setting `health_checks` allows health checks:
 //!
-//! - `EJECTING_REFUSALS` = 2 refused connections without a response between them, or
+//! - `REFUSALS_TO_EJECT` = 2 refused connections without a response between them, or
 //! - an attempt that passed its latency objective without any response from the endpoint since it
 //!   was sent, while fewer than one in `READY_PER_EJECTED` = 3 ready endpoints is ejected. The
 //!   sweep notices it (`retries::timeouts`, every 10 ms), the evaluation ejects (every 250 ms).
@@ -29,4 +29,4 @@
 mod checker;
 mod endpoint_health;
 
-pub(crate) use checker::{EndpointOutcome, HealthChange, HealthChecker, InService};
+pub(crate) use checker::{EndpointOutcome, HealthChange, HealthChecker, InServiceCounts};
--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -14,7 +14,7 @@
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 /// This number of refused connections, with no response between them, ejects an endpoint, however
 /// many are ejected already: it serves nothing.
-const EJECTING_REFUSALS: u32 = 2;
+const REFUSALS_TO_EJECT: u32 = 2;
 /// Unresponsive endpoints are ejected while fewer than one in this number of the ready ones is.
 const READY_PER_EJECTED: usize = 3;
 /// Time between two trial requests to an endpoint while all endpoints are ejected.
@@ -40,14 +40,14 @@
 
 /// Endpoints in service by arm of an evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct InService {
+pub(crate) struct InServiceCounts {
     /// Of the newest build and later ones.
     pub(crate) candidate: usize,
     /// Of earlier builds.
     pub(crate) baseline: usize,
 }
 
-impl InService {
+impl InServiceCounts {
     /// Of all builds.
     pub(crate) fn total(self) -> usize {
         self.candidate + self.baseline
@@ -67,8 +67,8 @@
     }
 
     /// Another process runs at an endpoint.
-    pub(crate) fn start_process(&mut self, index: EndpointIndex, now: Timestamp) {
-        self.endpoints[index].start_process(now);
+    pub(crate) fn record_process_start(&mut self, index: EndpointIndex, now: Timestamp) {
+        self.endpoints[index].record_process_start(now);
     }
 
     /// The endpoint is ejected.
@@ -88,8 +88,12 @@
 
     /// Endpoints that are ready and not ejected: those of `newest` and later builds, and those of
     /// earlier ones.
-    pub(crate) fn in_service(&self, endpoints: &EndpointTable, newest: BuildNumber) -> InService {
-        let mut in_service = InService {
+    pub(crate) fn in_service(
+        &self,
+        endpoints: &EndpointTable,
+        newest: BuildNumber,
+    ) -> InServiceCounts {
+        let mut in_service = InServiceCounts {
             candidate: 0,
             baseline: 0,
         };
@@ -113,7 +117,7 @@
     }
 
     /// Ready endpoints of a build that are ejected.
-    pub(crate) fn ejected_of(&self, endpoints: &EndpointTable, build: BuildNumber) -> usize {
+    pub(crate) fn ejected_count(&self, endpoints: &EndpointTable, build: BuildNumber) -> usize {
         let of_build = endpoints
             .ready()
             .filter(|(_, endpoint)| endpoint.build() == build);
@@ -130,7 +134,7 @@
 
     /// In panic mode one request at a time tries each endpoint as a health check would: the fault
     /// may lie with this instance, or with the health checks.
-    pub(crate) fn may_try_ejected(
+    pub(crate) fn may_send_trial_request(
         &self,
         index: EndpointIndex,
         in_flight: f64,
@@ -175,7 +179,7 @@
             health.consecutive_refusals = 0;
         }
         health.consecutive_refusals += u32::from(outcome == AttemptOutcome::Refused);
-        let refuses = health.consecutive_refusals >= EJECTING_REFUSALS;
+        let refuses = health.consecutive_refusals >= REFUSALS_TO_EJECT;
         if refuses && context.settings.health_checks && !health.ejected {
             health.eject(now);
         }
--- a/crates/policy/src/health/endpoint_health.rs
+++ b/crates/policy/src/health/endpoint_health.rs
@@ -33,7 +33,7 @@
 
 impl EndpointHealth {
     /// Another process runs at the endpoint.
-    pub(super) fn start_process(&mut self, now: Timestamp) {
+    pub(super) fn record_process_start(&mut self, now: Timestamp) {
         self.return_to_service(now);
         self.passes_required = MIN_PASSES;
     }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -6,5 +6,5 @@
 mod route_baselines;
 mod zones;
 
-pub(crate) use estimate::{LatencyEstimate, Work};
+pub(crate) use estimate::{LatencyEstimate, RequestWork};
 pub(crate) use model::{BaselineLearning, ClassBaseline, LatencyModel, LatencySample};
--- a/crates/policy/src/latency/estimate.rs
+++ b/crates/policy/src/latency/estimate.rs
@@ -1,4 +1,4 @@
-//! Work, and how long it is estimated to take.
+//! The work of a request, and how long it is estimated to take.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 /// The work of a request, as far as its latency depends on it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Work {
+pub(crate) struct RequestWork {
     /// Its route.
     pub(crate) route: RouteIndex,
     /// Its cost.
--- a/crates/policy/src/latency/route_baselines.rs
+++ b/crates/policy/src/latency/route_baselines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::estimate::{LatencyEstimate, Work};
+use super::estimate::{LatencyEstimate, RequestWork};
 use crate::indexed_table::IndexedTable;
 use crate::statistics::{DecayingSums, TimeConstant};
 use crate::types::{RouteIndex, Timestamp, fractional_micros};
@@ -31,14 +31,18 @@
     }
 
     /// Records a response.
-    pub(super) fn record(&mut self, work: Work, latency: Duration, now: Timestamp) {
+    pub(super) fn record(&mut self, work: RequestWork, latency: Duration, now: Timestamp) {
         let values = [fractional_micros(latency), work.cost, 1.0];
         self.all_routes.add(values, now);
         self.routes[work.route].add(values, now);
     }
 
     /// The baseline latency of this work, where enough is known.
-    pub(super) fn expected(&mut self, work: Work, now: Timestamp) -> Option<LatencyEstimate> {
+    pub(super) fn expected_latency(
+        &mut self,
+        work: RequestWork,
+        now: Timestamp,
+    ) -> Option<LatencyEstimate> {
         let [all_latency, all_cost, all_responses] = self.all_routes.read(now);
         let [own_latency, own_cost, _] = self.routes[work.route].read(now);
         if all_responses < MIN_RESPONSES {
@@ -51,20 +55,20 @@
     }
 
     /// The baseline latency of each route for one unit of cost, infinite where it is not known.
-    pub(super) fn expected_per_cost(
+    pub(super) fn expected_latency_per_cost(
         &mut self,
         now: Timestamp,
     ) -> IndexedTable<RouteIndex, LatencyEstimate> {
         let routes = (0..self.routes.len()).map(RouteIndex::new);
         let estimates = routes.map(|route| {
-            self.expected(Work { route, cost: 1.0 }, now)
+            self.expected_latency(RequestWork { route, cost: 1.0 }, now)
                 .unwrap_or(LatencyEstimate::INFINITE)
         });
         IndexedTable::from_values(estimates.collect())
     }
 
     /// Responses of all routes together, as of the last reading.
-    pub(super) fn known_responses(&self) -> f64 {
+    pub(super) fn response_count(&self) -> f64 {
         let [_, _, responses] = self.all_routes.last_read();
         responses
     }
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -42,7 +42,7 @@
     settings: &'a Settings,
     now: Timestamp,
     /// Baseline latency of each route for one unit of cost.
-    expected_per_cost: IndexedTable<RouteIndex, LatencyEstimate>,
+    expected_latency_per_cost: IndexedTable<RouteIndex, LatencyEstimate>,
     hedging: bool,
 }
 
@@ -53,15 +53,15 @@
         is_congested: bool,
         context: &'a StepContext,
     ) -> AttemptTimeouts<'a> {
-        let expected_per_cost = latency.expected_per_cost(context.now);
+        let expected_latency_per_cost = latency.expected_latency_per_cost(context.now);
         let settings = &context.settings;
         // Hedged requests add load, and are only of use if the first attempt can be cancelled.
         let is_allowed = settings.cancel_attempts && settings.hedging;
-        let is_known = latency.known_responses() >= MIN_HEDGE_RESPONSES;
+        let is_known = latency.response_count() >= MIN_HEDGE_RESPONSES;
         AttemptTimeouts {
             settings,
             now: context.now,
-            expected_per_cost,
+            expected_latency_per_cost,
             hedging: is_allowed && is_known && !is_congested,
         }
     }
@@ -103,7 +103,7 @@
         if !self.hedging || attempt.request_finished || !attempt.is_only_attempt {
             return false;
         }
-        let expected = self.expected_per_cost[attempt.route].as_micros();
+        let expected = self.expected_latency_per_cost[attempt.route].as_micros();
         let hedge_after = HEDGE_FACTOR * expected * attempt.cost;
         age.saturating_mul(2) > objective && fractional_micros(age) > hedge_after
     }
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -4,7 +4,7 @@
 
 use super::parameters::{MIN_FLEET_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES};
 use super::status::Rollout;
-use crate::health::InService;
+use crate::health::InServiceCounts;
 use crate::statistics::{Arm, DecayingRate, TimeConstant};
 use crate::step_context::StepContext;
 use crate::types::Timestamp;
@@ -64,7 +64,7 @@
     }
 
     /// Whether the fleet and this instance's share of its load are comparable with the baseline.
-    fn is_comparable(&self, in_service: InService, attempts_per_second: f64) -> bool {
+    fn is_comparable(&self, in_service: InServiceCounts, attempts_per_second: f64) -> bool {
         let scaled_rate =
             self.attempts_per_second * MICROS_PER_SECOND / ATTEMPTS_TIME_CONSTANT.as_micros();
         let sampling_error = 2.0 * (scaled_rate / 2.0).sqrt();
@@ -81,7 +81,7 @@
     /// The newest build's rollout.
     pub(crate) rollout: Option<Rollout>,
     /// Endpoints in service.
-    pub(crate) in_service: InService,
+    pub(crate) in_service: InServiceCounts,
     /// No rollout is in progress, and most responses are quick.
     pub(crate) is_steady: bool,
     /// The fleet before the rollout.
@@ -109,7 +109,7 @@
 
     /// Attempts that this instance sends a second.
     pub(crate) fn attempts_per_second(&mut self, context: &StepContext) -> f64 {
-        self.attempts.per_second(context.lifetime(), context.now)
+        self.attempts.per_second(context.uptime(), context.now)
     }
 
     /// Whether slow responses can be compared with those before the rollout. Lost endpoints, a
--- a/crates/policy/src/rollout/verdict.rs
+++ b/crates/policy/src/rollout/verdict.rs
@@ -37,7 +37,7 @@
         bound: result.bounds.upper,
         alpha: ALPHA,
         beta: BETA,
-        ejected_endpoints: fleet.health.ejected_of(fleet.endpoints, rollout.build),
+        ejected_endpoints: fleet.health.ejected_count(fleet.endpoints, rollout.build),
     }
 }
 
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -13,7 +13,7 @@
 use crate::endpoints::{Endpoint, EndpointLoads};
 use crate::health::HealthChecker;
 use crate::indexed_table::IndexedTable;
-use crate::latency::{LatencyEstimate, LatencyModel, Work};
+use crate::latency::{LatencyEstimate, LatencyModel, RequestWork};
 use crate::requests::Request;
 use crate::retries::may_attempt;
 use crate::rollout::{ExposureGuard, RolloutView};
@@ -73,7 +73,7 @@
     ) -> Option<EndpointIndex> {
         let open = self.open_endpoints(request, lowest_build);
         let time_limit = self.time_limit(request);
-        let expected = self.expected_by_class(request);
+        let expected = self.expected_latency_by_class(request);
         let mut candidates = Candidates::default();
         let mut exposable = BTreeMap::new();
         for index in open {
@@ -114,17 +114,21 @@
     }
 
     /// How long the request usually takes at present, by hardware class.
-    fn expected_by_class(
+    fn expected_latency_by_class(
         &mut self,
         request: &Request,
     ) -> IndexedTable<HardwareClassIndex, LatencyEstimate> {
         let now = self.context.now;
-        let work = Work {
+        let work = RequestWork {
             route: request.route,
             cost: request.cost,
         };
-        let baseline = self.inputs.latency.expected(work, now).unwrap_or_default();
-        self.inputs.latency.expected_by_class(baseline, now)
+        let baseline = self
+            .inputs
+            .latency
+            .expected_latency(work, now)
+            .unwrap_or_default();
+        self.inputs.latency.expected_latency_by_class(baseline, now)
     }
 
     /// Endpoints that may take the request; of these the ones to which it has not been sent, if
@@ -152,7 +156,7 @@
         let RoutingInputs { health, limits, .. } = &self.inputs;
         let in_flight = self.inputs.loads.in_flight(index);
         if health.is_ejected(index) {
-            panic_mode && health.may_try_ejected(index, in_flight, self.context.now)
+            panic_mode && health.may_send_trial_request(index, in_flight, self.context.now)
         } else {
             limits.admits_at(index, in_flight)
         }
@@ -166,7 +170,7 @@
 
     fn has_slow_start_credit(&mut self, index: EndpointIndex) -> bool {
         let endpoints = self.inputs.view.endpoints;
-        let endpoint = endpoints.classed(index);
+        let endpoint = endpoints.with_class(index);
         self.inputs
             .slow_start
             .has_credit(endpoint, endpoints, self.context)
@@ -220,7 +224,7 @@
     fn endpoint_cost(&mut self, index: EndpointIndex) -> f64 {
         let now = self.context.now;
         let endpoints = self.inputs.view.endpoints;
-        let endpoint = endpoints.classed(index);
+        let endpoint = endpoints.with_class(index);
         let load = self.inputs.loads.load(endpoint, now);
         let slowdown = self.inputs.latency.slowdown(endpoint, now);
         let crossing = f64::from(endpoints[index].in_other_zone);
--- a/crates/policy/src/schedule.rs
+++ b/crates/policy/src/schedule.rs
@@ -86,10 +86,10 @@
 
     /// Notes the next step. Returns whether it must be requested, since none is that comes as
     /// early.
-    pub(crate) fn wake_up_after(&mut self, pause: Duration, now: Timestamp) -> bool {
-        let is_earlier = now >= self.wake_up_at || now + pause < self.wake_up_at;
+    pub(crate) fn update_wake_up(&mut self, delay: Duration, now: Timestamp) -> bool {
+        let is_earlier = now >= self.wake_up_at || now + delay < self.wake_up_at;
         if is_earlier {
-            self.wake_up_at = now + pause;
+            self.wake_up_at = now + delay;
         }
         is_earlier
     }
--- a/crates/policy/src/step_context.rs
+++ b/crates/policy/src/step_context.rs
@@ -36,7 +36,7 @@
     }
 
     /// How long this instance has run.
-    pub(crate) fn lifetime(&self) -> Duration {
+    pub(crate) fn uptime(&self) -> Duration {
         self.now - self.started_at
     }
 }
--- a/crates/policy/src/types/ids.rs
+++ b/crates/policy/src/types/ids.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Declares a type that wraps a number and is only good for identifying something.
-macro_rules! number_type {
+macro_rules! numeric_newtype {
     ($(#[$attributes:meta])* $name:ident, $number:ty) => {
         $(#[$attributes])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,37 +35,37 @@
     };
 }
 
-number_type!(
+numeric_newtype!(
     /// Identifies a request; the host chooses it and uses it for one open request at a time.
     RequestId,
     u64
 );
-number_type!(
+numeric_newtype!(
     /// Position of an attempt among the attempts of its request, from 0.
     AttemptIndex,
     usize
 );
-number_type!(
+numeric_newtype!(
     /// Position of an endpoint in the table of endpoints; reused once nothing refers to it.
     EndpointIndex,
     usize
 );
-number_type!(
+numeric_newtype!(
     /// Position of a hardware class in the table of hardware classes.
     HardwareClassIndex,
     usize
 );
-number_type!(
+numeric_newtype!(
     /// Position of a route in [`Settings::routes`](crate::settings::Settings::routes).
     RouteIndex,
     usize
 );
-number_type!(
+numeric_newtype!(
     /// Number of a build; later builds have higher numbers.
     BuildNumber,
     u32
 );
-number_type!(
+numeric_newtype!(
     /// Stage of a build's evaluation, from 0.
     StageIndex,
     u32
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::capacity::CapacityMeter;
-use crate::endpoints::{ClassedEndpoint, Endpoint, EndpointTable};
+use crate::endpoints::{Endpoint, EndpointTable, EndpointWithClass};
 use crate::indexed_table::IndexedTable;
 use crate::statistics::{DecayingRate, TimeConstant};
 use crate::step_context::StepContext;
@@ -86,7 +86,7 @@
     /// Another process runs at an endpoint. Each instance starts with another fraction of a
     /// request, in the order of the endpoints' names, so that the instances take turns with the
     /// first requests.
-    pub(crate) fn start_process(
+    pub(crate) fn record_process_start(
         &mut self,
         index: EndpointIndex,
         name_rank: usize,
@@ -128,7 +128,7 @@
     /// is spread over them.
     pub(crate) fn has_credit(
         &mut self,
-        endpoint: ClassedEndpoint,
+        endpoint: EndpointWithClass,
         endpoints: &EndpointTable,
         context: &StepContext,
     ) -> bool {
@@ -154,7 +154,7 @@
         let measured = self.capacity.measured(class, context.now);
         measured.unwrap_or_else(|| {
             let ready = endpoints.ready().count().max(1);
-            let arrivals = self.arrivals.per_second(context.lifetime(), context.now);
+            let arrivals = self.arrivals.per_second(context.uptime(), context.now);
             arrivals / ready as f64
         })
     }
