--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -300,7 +300,7 @@
 /// direction.
 fn own_outcomes_agree(evidence: &Evidence, test: EvidenceTest) -> bool {
     let own = evidence.own_candidate(test);
-    let is_worse = own.share() > evidence.tested(test).baseline.share();
+    let is_worse = own.failure_share() > evidence.tested(test).baseline.failure_share();
     own.failures >= 1.0 && is_worse || evidence.restored_candidate(test).outcomes == 0.0
 }
 
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -8,7 +8,7 @@
     EVIDENCE_TIME_CONSTANTS, FLEET_SHARE, MAX_RESTORED_BASELINE_OUTCOMES,
     MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
 };
-use crate::statistics::{Arm, Arms, EndpointShare, OutcomeCounts, OutcomeKey, PerTest};
+use crate::statistics::{Arm, Arms, EndpointOutcomes, OutcomeCounts, OutcomeKey, PerTest};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
 /// The evidence that one evaluation looks at.
@@ -142,9 +142,9 @@
             let test = EvidenceTest::FleetSlowdown;
             let outcomes = std::mem::take(&mut counts.outcomes[test]);
             let failures = std::mem::take(&mut counts.failures[test]);
-            shares.push(EndpointShare { outcomes, failures });
+            shares.push(EndpointOutcomes { outcomes, failures });
         }
-        Arm::of_best(shares, FLEET_SHARE)
+        Arm::from_best_endpoints(shares, FLEET_SHARE)
     }
 
     /// All evidence on the newest build, except for the fleet before the rollout.
@@ -163,7 +163,8 @@
         for test in EvidenceTest::ALL {
             add_restored(&mut tested[test], restored[test]);
         }
-        tested[EvidenceTest::FleetSlowdown].candidate = Arm::of_best(fleet_shares, FLEET_SHARE);
+        tested[EvidenceTest::FleetSlowdown].candidate =
+            Arm::from_best_endpoints(fleet_shares, FLEET_SHARE);
         let in_service = fleet.health.in_service(fleet.endpoints, newest);
         let candidate_is_alone = in_service.baseline == 0;
         if candidate_is_alone {
@@ -194,7 +195,7 @@
                 && fleet.endpoints[key.endpoint].build() == key.build;
             if !is_lost {
                 let test = EvidenceTest::FleetSlowdown;
-                evidence.fleet.push(EndpointShare {
+                evidence.fleet.push(EndpointOutcomes {
                     outcomes: counts.outcomes[test],
                     failures: counts.failures[test],
                 });
@@ -220,7 +221,7 @@
 struct OwnEvidence {
     arms: PerTest<Arms>,
     /// Slow responses by endpoint.
-    fleet: Vec<EndpointShare>,
+    fleet: Vec<EndpointOutcomes>,
 }
 
 /// Counts of the newest build and earlier ones.
@@ -235,7 +236,7 @@
 
 fn add_counts(arms: &mut PerTest<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
     for test in EvidenceTest::ALL {
-        let share = counts.of(test);
+        let share = counts.for_test(test);
         let arms = &mut arms[test];
         let arm = if is_candidate {
             &mut arms.candidate
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -53,7 +53,7 @@
 pub(super) const SCORES: ScoreParameters = ScoreParameters {
     floor_share: 0.01,
     large_effect_factor: 4.0,
-    large_effect_errors: 3.0,
+    large_effect_standard_errors: 3.0,
 };
 
 /// How fast outcomes lose their weight: without decay, a build that turns bad late would be hidden
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -12,7 +12,7 @@
 mod sprt;
 mod time_constant;
 
-pub use arm::{Arm, Arms, Dispersion, EndpointShare};
+pub use arm::{Arm, Arms, Dispersion, EndpointOutcomes};
 pub use decaying_mean::{DecayingMean, WeightedSum};
 pub use decaying_rate::DecayingRate;
 pub use decaying_sums::DecayingSums;
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -5,7 +5,7 @@
 
 /// Outcomes and failures of one endpoint in one test.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EndpointShare {
+pub struct EndpointOutcomes {
     /// All outcomes.
     pub outcomes: f64,
     /// Failures among them.
@@ -57,7 +57,7 @@
 
 impl Arm {
     /// The share of failures; 0 without outcomes.
-    pub fn share(&self) -> f64 {
+    pub fn failure_share(&self) -> f64 {
         if self.outcomes > 0.0 {
             self.failures / self.outcomes
         } else {
@@ -93,8 +93,8 @@
     }
 
     /// The endpoints with the smallest shares of failures, up to this fraction of all outcomes.
-    pub fn of_best(mut endpoints: Vec<EndpointShare>, fraction: f64) -> Arm {
-        let share = |endpoint: &EndpointShare| endpoint.failures / endpoint.outcomes.max(TINY);
+    pub fn from_best_endpoints(mut endpoints: Vec<EndpointOutcomes>, fraction: f64) -> Arm {
+        let share = |endpoint: &EndpointOutcomes| endpoint.failures / endpoint.outcomes.max(TINY);
         endpoints.sort_by(|a, b| share(a).total_cmp(&share(b)));
         let outcomes = endpoints.iter().map(|endpoint| endpoint.outcomes);
         let limit = fraction * outcomes.sum::<f64>();
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -1,6 +1,6 @@
 //! Outcomes and failures of one endpoint under one build.
 
-use super::{EndpointShare, PerTest, TimeConstant};
+use super::{EndpointOutcomes, PerTest, TimeConstant};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
 /// Counts that are below this on all sides no longer matter.
@@ -73,10 +73,10 @@
     }
 
     /// Outcomes of one test and the failures among them; a complaint may come without its outcome.
-    pub fn of(&self, test: EvidenceTest) -> EndpointShare {
+    pub fn for_test(&self, test: EvidenceTest) -> EndpointOutcomes {
         let outcomes = self.outcomes[test];
         let failures = self.failures[test].min(outcomes);
-        EndpointShare { outcomes, failures }
+        EndpointOutcomes { outcomes, failures }
     }
 
     /// Less than half an outcome and half a failure is left in every test.
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -56,14 +56,14 @@
     fn bernoulli(&self, arm: &Arm) -> f64 {
         let one_failure = 1.0 / (arm.outcomes + 3.0) / self.rarity.factor().max(1.0);
         let floor = self.floor_share.max(one_failure);
-        let share = arm.share().clamp(floor, 1.0 - floor);
+        let share = arm.failure_share().clamp(floor, 1.0 - floor);
         share * (1.0 - share)
     }
 
     /// The design effect: how much more the arm's endpoints differ than sampling error explains, at
     /// least 1. An overload hits many outcomes of one endpoint together.
     fn clustering(&self, arm: &Arm) -> f64 {
-        let share = arm.share();
+        let share = arm.failure_share();
         let dispersion = arm.dispersion;
         let squares = dispersion.failures_squared
             - 2.0 * share * dispersion.failures_times_outcomes
@@ -85,7 +85,7 @@
                 (candidate.outcomes * self.floor_share / factor.powi(4)).min(1.0)
             }
         };
-        let like_baseline = baseline.share() * candidate.outcomes;
+        let like_baseline = baseline.failure_share() * candidate.outcomes;
         let like_baseline = self.bernoulli(&Arm {
             failures: like_baseline,
             ..candidate
@@ -115,7 +115,7 @@
     previous_variances: ArmVariances,
     minimum_effect: f64,
 ) -> f64 {
-    let difference = arms.candidate.share() - arms.baseline.share();
+    let difference = arms.candidate.failure_share() - arms.baseline.failure_share();
     let z_score = difference / variances.standard_error(arms);
     let drift = minimum_effect / previous_variances.standard_error(arms);
     z_score * drift - drift * drift / 2.0
@@ -147,10 +147,10 @@
     /// α bounds the rate of false rollbacks, and a rollback needs `votes` simultaneous votes. The
     /// margin gives each instance such a share of α that this many false votes together stay as
     /// rare as α asks for. For several votes, the rate at which one instance may err is
-    /// approximated by the square of the root of their number less `votes_offset`.
-    pub fn instance_margin(self, instances: f64, votes: f64, votes_offset: f64) -> f64 {
+    /// approximated by the square of the root of their number less `sqrt_votes_offset`.
+    pub fn instance_margin(self, instances: f64, votes: f64, sqrt_votes_offset: f64) -> f64 {
         let rate = if votes > 1.0 {
-            (votes.sqrt() - votes_offset).powi(2)
+            (votes.sqrt() - sqrt_votes_offset).powi(2)
         } else {
             self.alpha
         };
