--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -19,7 +19,7 @@
 use crate::requests::{Attempt, AttemptConditions, Request, RequestTable};
 use crate::retries::{AttemptTimeouts, KeyBuilds, may_attempt};
 use crate::rollout::{
-    AttemptTarget, Evaluator, ExposureGuard, FleetComparison, FleetState, FleetView, Rollout,
+    AttemptTarget, Evaluator, ExposureLimiter, FleetComparison, FleetState, FleetView, Rollout,
     RolloutTracker, RolloutView, VoteScheduler, attempt_conditions,
 };
 use crate::routing::{EndpointSelector, RoutingInputs};
@@ -62,7 +62,7 @@
     limits: ConcurrencyLimits,
     priorities: PriorityScale,
     rollout: RolloutTracker,
-    exposure: ExposureGuard,
+    exposure: ExposureLimiter,
     evaluator: Evaluator,
     fleet_comparison: FleetComparison,
     votes: VoteScheduler,
@@ -85,7 +85,7 @@
             limits: ConcurrencyLimits::new(),
             priorities: PriorityScale::default(),
             rollout: RolloutTracker::default(),
-            exposure: ExposureGuard::default(),
+            exposure: ExposureLimiter::default(),
             evaluator: Evaluator::default(),
             fleet_comparison: FleetComparison::new(),
             votes: VoteScheduler::new(now),
@@ -149,7 +149,7 @@
         TableSizes {
             endpoint_indexes: self.endpoints.len(),
             endpoint_names: self.endpoints.name_count(),
-            outcome_counts: self.evaluator.outcome_count(),
+            outcome_counts: self.evaluator.outcome_key_count(),
             key_builds: self.key_builds.len(),
             open_requests: self.requests.len(),
         }
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -396,7 +396,7 @@
                 process: self.endpoints[endpoint].process,
                 answered_at: now - age,
             };
-            self.evaluator.record_complaint(answer, now);
+            self.evaluator.record_flagged_answer(answer, now);
         }
     }
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -16,7 +16,7 @@
 pub(crate) use attempt_conditions::{AttemptTarget, attempt_conditions};
 pub(crate) use evaluator::{Evaluator, FlaggedAnswer};
 pub(crate) use evidence::{AttemptEvidence, EndpointObservation};
-pub(crate) use exposure::ExposureGuard;
+pub(crate) use exposure::ExposureLimiter;
 pub(crate) use fleet_baseline::{FleetBaseline, FleetComparison, FleetState};
 pub(crate) use fleet_view::FleetView;
 pub use status::Rollout;
--- a/crates/policy/src/rollout/attempt_conditions.rs
+++ b/crates/policy/src/rollout/attempt_conditions.rs
@@ -8,7 +8,7 @@
 use crate::step_context::StepContext;
 
 /// An endpoint is judged from this time after its start on.
-pub(super) const START_UP_TIME: Duration = Duration::from_secs(3);
+pub(super) const START_UP_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
 /// The endpoint to which an attempt is sent.
 #[derive(Debug)]
@@ -37,8 +37,8 @@
     };
     let has_run_for = |time| has_run_for(endpoint, time, context);
     AttemptConditions {
-        past_start_up: has_run_for(START_UP_TIME),
-        warm: has_run_for(START_UP_TIME.max(context.settings.warm_up_time)),
+        past_start_up: has_run_for(START_UP_GRACE_PERIOD),
+        warm: has_run_for(START_UP_GRACE_PERIOD.max(context.settings.warm_up_time)),
         endpoint_load: target.load,
         has_concurrent_baseline: other_arm > 0,
         comparable_to_baseline,
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -3,13 +3,14 @@
 
 use std::time::Duration;
 
-use super::attempt_conditions::START_UP_TIME;
-use super::evidence::{AttemptEvidence, CrashTracker, judge_attempt};
+use super::attempt_conditions::START_UP_GRACE_PERIOD;
+use super::evidence::{AttemptEvidence, CrashTracker, classify_attempt};
 use super::fleet_baseline::FleetBaseline;
 use super::fleet_view::FleetView;
 use super::outcome_table::{Evidence, OutcomeTable};
 use super::parameters::{
-    ALPHA, BETA, ENDPOINT_MARGIN_FACTOR, MAX_HOLD_TIME, SCORES, TESTS, VOTES_OFFSET,
+    ALPHA, BETA, CONCENTRATION_MARGIN_FACTOR, MAX_HOLD_TIME, SCORE_PARAMETERS, SQRT_VOTES_OFFSET,
+    TEST_PARAMETERS,
 };
 use super::status::Rollout;
 use super::verdict::{TestResult, rollback_verdict};
@@ -89,7 +90,8 @@
 
     /// Records an attempt that has ended or timed out, in the tests for which it is evidence.
     pub(crate) fn record_attempt(&mut self, evidence: &AttemptEvidence<'_>, context: &StepContext) {
-        let is_failure = judge_attempt(evidence, &mut self.crashes, &self.fleet_baseline, context);
+        let is_failure =
+            classify_attempt(evidence, &mut self.crashes, &self.fleet_baseline, context);
         if let Some(is_failure) = is_failure {
             let attempt = evidence.attempt;
             let key = OutcomeKey {
@@ -101,9 +103,9 @@
     }
 
     /// Records a client's complaint about an answer: a failure whose outcome has been counted.
-    pub(crate) fn record_complaint(&mut self, answer: FlaggedAnswer, now: Timestamp) {
+    pub(crate) fn record_flagged_answer(&mut self, answer: FlaggedAnswer, now: Timestamp) {
         let started_at = answer.process.started_at.unwrap_or_default();
-        if answer.answered_at < started_at + START_UP_TIME {
+        if answer.answered_at < started_at + START_UP_GRACE_PERIOD {
             return;
         }
         let key = OutcomeKey {
@@ -129,7 +131,7 @@
             endpoints: endpoints_in_service,
             attempts_per_second,
         };
-        baseline.keep_previous_if_few(&self.fleet_baseline);
+        baseline.keep_previous_arm_if_sparse(&self.fleet_baseline);
         self.fleet_baseline = baseline;
     }
 
@@ -149,7 +151,7 @@
     }
 
     /// Number of pairs of build and endpoint with outcomes of this instance.
-    pub(crate) fn outcome_count(&self) -> usize {
+    pub(crate) fn outcome_key_count(&self) -> usize {
         self.outcomes.len()
     }
 
@@ -212,7 +214,7 @@
 
     fn scores(&mut self, evidence: &Evidence, test: EvidenceTest) -> Option<Scores> {
         let previous = &mut self.previous_variances[test];
-        TESTS[test].scores(&SCORES, evidence.tested(test), previous)
+        TEST_PARAMETERS[test].scores(&SCORE_PARAMETERS, evidence.tested(test), previous)
     }
 
     /// Notes that a build is rejected. Returns whether it was not before.
@@ -293,7 +295,7 @@
 fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
-    bounds.instance_margin(instances, votes, VOTES_OFFSET)
+    bounds.instance_margin(instances, votes, SQRT_VOTES_OFFSET)
 }
 
 /// Conditions from before a restart may have ended: this instance's own outcomes must show the same
@@ -308,13 +310,13 @@
 /// larger is the margin: a single endpoint may be affected by a noisy neighbour.
 fn evidence_margin(evidence: &Evidence, test: EvidenceTest) -> f64 {
     // Without concurrent outcomes of the previous build, errors may be caused by a few endpoints.
-    let is_uncompared = test == EvidenceTest::Errors && evidence.candidate_is_alone;
-    let margin_of = if is_uncompared {
+    let lacks_baseline = test == EvidenceTest::Errors && evidence.lacks_baseline_endpoints;
+    let margin_test = if lacks_baseline {
         EvidenceTest::Failures
     } else {
         test
     };
-    let margin = TESTS[margin_of].evidence_margin;
+    let margin = TEST_PARAMETERS[margin_test].evidence_margin;
     let concentration = evidence.tested(test).candidate.concentration();
-    margin * (1.0 + ENDPOINT_MARGIN_FACTOR * concentration)
+    margin * (1.0 + CONCENTRATION_MARGIN_FACTOR * concentration)
 }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -73,7 +73,7 @@
         self.last_crash_at.put(index, Timestamp::ZERO);
     }
 
-    fn is_known_crash(&self, endpoint: EndpointIndex, now: Timestamp) -> bool {
+    fn is_duplicate(&self, endpoint: EndpointIndex, now: Timestamp) -> bool {
         now < self.last_crash_at[endpoint] + CRASH_WINDOW
     }
 
@@ -84,7 +84,7 @@
 
 /// For each test, whether the attempt is a failure there, or `None` where it is no evidence.
 /// Returns `None` if it is no evidence in any test.
-pub(super) fn judge_attempt(
+pub(super) fn classify_attempt(
     evidence: &AttemptEvidence<'_>,
     crashes: &mut CrashTracker,
     fleet_baseline: &FleetBaseline,
@@ -99,15 +99,15 @@
         return None;
     }
     if outcome == AttemptOutcome::ConnectionReset {
-        if crashes.is_known_crash(attempt.endpoint, context.now) {
+        if crashes.is_duplicate(attempt.endpoint, context.now) {
             return None;
         }
         crashes.record(attempt.endpoint, context.now);
     }
     let is_failure = outcome.is_error() || is_late || outcome == AttemptOutcome::TimedOut;
     // The time until an error is no measure of speed.
-    let is_untimed = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
-    let is_slow = is_slow.filter(|_| !is_untimed);
+    let lacks_latency = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
+    let is_slow = is_slow.filter(|_| !lacks_latency);
     let has_baseline = attempt.conditions.has_concurrent_baseline;
     // Attempts that were in flight when the rollout began were long ones, and would make it look
     // slow.
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -7,25 +7,25 @@
 use crate::types::{BuildNumber, RouteIndex, StageIndex, Timestamp};
 
 /// Requests are counted for all builds together.
-const ANY_BUILD: BuildNumber = BuildNumber::new(0);
+const ALL_BUILDS: BuildNumber = BuildNumber::new(0);
 
 /// Admits attempts at builds under evaluation: within any window their number stays within an
 /// allowance plus the traffic cap times the number of requests.
 ///
-/// Bounded by [`ExposureGuard::expire`], which drops events older than the window.
+/// Bounded by [`ExposureLimiter::expire`], which drops events older than the window.
 #[derive(Debug, Default)]
-pub(crate) struct ExposureGuard {
+pub(crate) struct ExposureLimiter {
     admitted_requests: SlidingWindow,
     attempts: SlidingWindow,
     /// From then on a lower cap applies, and only requests admitted later count towards it.
-    recount_at: Option<Timestamp>,
+    lower_cap_applies_at: Option<Timestamp>,
 }
 
-impl ExposureGuard {
+impl ExposureLimiter {
     /// A request has been admitted.
     pub(crate) fn record_request(&mut self, route: RouteIndex, now: Timestamp) {
         let key = WindowKey {
-            build: ANY_BUILD,
+            build: ALL_BUILDS,
             route,
         };
         self.admitted_requests.push(key, now);
@@ -44,7 +44,7 @@
     /// The cap has been lowered: requests are counted anew, from now on and once more from when the
     /// lower cap applies.
     pub(crate) fn restart_counting(&mut self, applies_from: Timestamp) {
-        self.recount_at = Some(applies_from);
+        self.lower_cap_applies_at = Some(applies_from);
         self.admitted_requests.clear();
     }
 
@@ -52,7 +52,7 @@
     /// by now.
     pub(crate) fn expire(&mut self, context: &StepContext) {
         let now = context.now;
-        if self.recount_at.take_if(|at| now >= *at).is_some() {
+        if self.lower_cap_applies_at.take_if(|at| now >= *at).is_some() {
             self.admitted_requests.clear();
         }
         let window_start = now - context.settings.exposure_window;
@@ -97,6 +97,6 @@
     fn requests_since(&self, route: Option<RouteIndex>, window_start: Timestamp) -> usize {
         let after_start = Timestamp::from_micros(window_start.as_micros() + 1);
         self.admitted_requests
-            .count_since(ANY_BUILD, route, after_start)
+            .count_since(ALL_BUILDS, route, after_start)
     }
 }
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -47,7 +47,7 @@
 
 impl FleetBaseline {
     /// Keeps the responses of the previous baseline where there were few since.
-    pub(super) fn keep_previous_if_few(&mut self, previous: &FleetBaseline) {
+    pub(super) fn keep_previous_arm_if_sparse(&mut self, previous: &FleetBaseline) {
         let needed = previous.arm.outcomes.min(MIN_FLEET_OUTCOMES);
         let has_enough = self.arm.outcomes >= needed;
         if !has_enough {
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -5,7 +5,7 @@
 
 use super::fleet_view::FleetView;
 use super::parameters::{
-    EVIDENCE_TIME_CONSTANTS, FLEET_SHARE, MAX_RESTORED_BASELINE_OUTCOMES,
+    BEST_ENDPOINTS_FRACTION, EVIDENCE_TIME_CONSTANTS, MAX_RESTORED_BASELINE_OUTCOMES,
     MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
 };
 use crate::statistics::{Arm, Arms, EndpointOutcomes, OutcomeCounts, OutcomeKey, PerTest};
@@ -21,7 +21,7 @@
     /// What the tests look at: own and restored outcomes, and what is added where there are few.
     tested: PerTest<Arms>,
     /// No endpoint of the baseline is in service.
-    pub(super) candidate_is_alone: bool,
+    pub(super) lacks_baseline_endpoints: bool,
 }
 
 impl Evidence {
@@ -136,15 +136,15 @@
 
     /// The slow responses of the fleet's best endpoints, which are counted anew from now on.
     pub(super) fn take_fleet_arm(&mut self, now: Timestamp) -> Arm {
-        let mut shares = Vec::new();
+        let mut by_endpoint = Vec::new();
         for counts in self.own.values_mut() {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             let test = EvidenceTest::FleetSlowdown;
             let outcomes = std::mem::take(&mut counts.outcomes[test]);
             let failures = std::mem::take(&mut counts.failures[test]);
-            shares.push(EndpointOutcomes { outcomes, failures });
+            by_endpoint.push(EndpointOutcomes { outcomes, failures });
         }
-        Arm::from_best_endpoints(shares, FLEET_SHARE)
+        Arm::from_best_endpoints(by_endpoint, BEST_ENDPOINTS_FRACTION)
     }
 
     /// All evidence on the newest build, except for the fleet before the rollout.
@@ -156,7 +156,7 @@
     ) -> Evidence {
         let OwnEvidence {
             arms: own,
-            fleet: fleet_shares,
+            by_endpoint,
         } = self.own_evidence(newest, fleet, now);
         let restored = self.restored_evidence(newest, now);
         let mut tested = own;
@@ -164,10 +164,10 @@
             add_restored(&mut tested[test], restored[test]);
         }
         tested[EvidenceTest::FleetSlowdown].candidate =
-            Arm::from_best_endpoints(fleet_shares, FLEET_SHARE);
+            Arm::from_best_endpoints(by_endpoint, BEST_ENDPOINTS_FRACTION);
         let in_service = fleet.health.in_service(fleet.endpoints, newest);
-        let candidate_is_alone = in_service.baseline == 0;
-        if candidate_is_alone {
+        let lacks_baseline_endpoints = in_service.baseline == 0;
+        if lacks_baseline_endpoints {
             let errors = &mut tested[EvidenceTest::Errors];
             errors.baseline.add(PRIOR_OUTCOMES, PRIOR_FAILURES);
         }
@@ -175,7 +175,7 @@
             own,
             restored,
             tested,
-            candidate_is_alone,
+            lacks_baseline_endpoints,
         }
     }
 
@@ -195,7 +195,7 @@
                 && fleet.endpoints[key.endpoint].build() == key.build;
             if !is_lost {
                 let test = EvidenceTest::FleetSlowdown;
-                evidence.fleet.push(EndpointOutcomes {
+                evidence.by_endpoint.push(EndpointOutcomes {
                     outcomes: counts.outcomes[test],
                     failures: counts.failures[test],
                 });
@@ -221,7 +221,7 @@
 struct OwnEvidence {
     arms: PerTest<Arms>,
     /// Slow responses by endpoint.
-    fleet: Vec<EndpointOutcomes>,
+    by_endpoint: Vec<EndpointOutcomes>,
 }
 
 /// Counts of the newest build and earlier ones.
@@ -236,14 +236,14 @@
 
 fn add_counts(arms: &mut PerTest<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
     for test in EvidenceTest::ALL {
-        let share = counts.for_test(test);
+        let totals = counts.for_test(test);
         let arms = &mut arms[test];
         let arm = if is_candidate {
             &mut arms.candidate
         } else {
             &mut arms.baseline
         };
-        arm.add(share.outcomes, share.failures);
+        arm.add(totals.outcomes, totals.failures);
     }
 }
 
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -23,7 +23,7 @@
 };
 
 /// What differs from test to test: failures, slowness, errors, fleet slowdown.
-pub(super) const TESTS: PerTest<TestParameters> = PerTest::new([
+pub(super) const TEST_PARAMETERS: PerTest<TestParameters> = PerTest::new([
     FAILURES,
     TestParameters {
         minimum_effect: 0.15,
@@ -50,7 +50,7 @@
 ]);
 
 /// What all tests share.
-pub(super) const SCORES: ScoreParameters = ScoreParameters {
+pub(super) const SCORE_PARAMETERS: ScoreParameters = ScoreParameters {
     floor_share: 0.01,
     large_effect_factor: 4.0,
     large_effect_standard_errors: 3.0,
@@ -68,7 +68,7 @@
 /// A build that slows down the fleet is seen on most endpoints; what slows down some of them may be
 /// a noisy neighbour. The endpoints with the smallest shares of slow responses count, up to this
 /// share of all responses.
-pub(super) const FLEET_SHARE: f64 = 0.67;
+pub(super) const BEST_ENDPOINTS_FRACTION: f64 = 0.67;
 
 /// Outcomes from before a restart count up to this number for the build under evaluation, …
 pub(super) const MAX_RESTORED_CANDIDATE_OUTCOMES: f64 = MIN_OUTCOMES / 2.0;
@@ -86,11 +86,11 @@
 pub(super) const MIN_FLEET_OUTCOMES: f64 = 5.0 * MIN_OUTCOMES;
 
 /// The evidence margin grows by this multiple of itself where one endpoint gave all outcomes.
-pub(super) const ENDPOINT_MARGIN_FACTOR: f64 = 2.0;
+pub(super) const CONCENTRATION_MARGIN_FACTOR: f64 = 2.0;
 
 /// Correction to the root of the number of votes, for how rarely several instances vote
 /// simultaneously.
-pub(super) const VOTES_OFFSET: f64 = 0.82;
+pub(super) const SQRT_VOTES_OFFSET: f64 = 0.82;
 
 /// A hold is released at the latest this long after its stage began.
 pub(super) const MAX_HOLD_TIME: Duration = Duration::from_secs(3);
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -1,4 +1,4 @@
-//! Votes: which opinion on the build is sent to the platform, and when.
+//! Votes: which vote on the build is sent to the platform, and when.
 
 use std::time::Duration;
 
@@ -63,9 +63,9 @@
         let ballot = Ballot {
             build: rollout.build,
             stage: rollout.stage,
-            vote: opinion(rollout, assessment, context),
+            vote: desired_vote(rollout, assessment, context),
         };
-        if self.is_known(ballot, &context.settings, now) {
+        if self.is_redundant(ballot, &context.settings, now) {
             return None;
         }
         if context.random.rand_float() >= vote_probability(&context.settings) {
@@ -81,16 +81,16 @@
             .is_some_and(|pending| now < pending.at + response_time)
     }
 
-    /// The platform knows this opinion: the standing vote is equal and need not be renewed
+    /// The platform knows this vote: the standing vote is equal and need not be renewed
     /// yet, or there is no vote to withdraw.
-    fn is_known(&self, ballot: Ballot, settings: &Settings, now: Timestamp) -> bool {
+    fn is_redundant(&self, ballot: Ballot, settings: &Settings, now: Timestamp) -> bool {
         let CastVote {
             ballot: standing,
             at,
         } = self.standing_vote;
         let same_build = standing.build == ballot.build;
-        let has_lapsed = !same_build || now >= at + settings.vote_lifetime;
-        if ballot.vote == Vote::Abstain && (standing.vote == Vote::Abstain || has_lapsed) {
+        let has_expired = !same_build || now >= at + settings.vote_lifetime;
+        if ballot.vote == Vote::Abstain && (standing.vote == Vote::Abstain || has_expired) {
             return true;
         }
         let same_stage = standing.stage == ballot.stage || ballot.vote == Vote::RollBack;
@@ -127,8 +127,8 @@
     settings.votes_per_second * lifetime / SPREAD_DIVISOR / instances
 }
 
-/// This instance's opinion on the newest build.
-fn opinion(rollout: Rollout, assessment: Assessment, context: &StepContext) -> Vote {
+/// This instance's vote on the newest build.
+fn desired_vote(rollout: Rollout, assessment: Assessment, context: &StepContext) -> Vote {
     let is_canary = rollout.phase == RolloutPhase::Canary;
     let may_be_rolled_back = is_canary || rollout.phase == RolloutPhase::Released;
     if assessment.is_rejected && may_be_rolled_back {
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -16,7 +16,7 @@
 use crate::latency::{LatencyEstimate, LatencyModel, Work};
 use crate::requests::Request;
 use crate::retries::may_attempt;
-use crate::rollout::{ExposureGuard, RolloutView};
+use crate::rollout::{ExposureLimiter, RolloutView};
 use crate::statistics::WindowKey;
 use crate::step_context::StepContext;
 use crate::types::{BuildNumber, EndpointIndex, HardwareClassIndex, RouteIndex};
@@ -41,7 +41,7 @@
     /// Limits on attempts in flight.
     pub(crate) limits: &'a ConcurrencyLimits,
     /// Traffic of builds under evaluation.
-    pub(crate) exposure: &'a ExposureGuard,
+    pub(crate) exposure: &'a ExposureLimiter,
     /// Load of the endpoints.
     pub(crate) loads: &'a mut EndpointLoads,
     /// Latencies of routes, endpoints, hardware classes and zones.
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -1,7 +1,7 @@
 //! The two sides of a comparison between builds.
 
 /// Keeps a division by a count that may be zero finite.
-const TINY: f64 = 1e-9;
+const MIN_DIVISOR: f64 = 1e-9;
 
 /// Outcomes and failures of one endpoint in one test.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -82,7 +82,7 @@
     /// Adds another arm's outcomes, but at most `max_outcomes` of them: if there are more, the same
     /// fraction of each endpoint's.
     pub fn add_limited(&mut self, other: Arm, max_outcomes: f64) {
-        let fraction = (max_outcomes / other.outcomes.max(TINY)).min(1.0);
+        let fraction = (max_outcomes / other.outcomes.max(MIN_DIVISOR)).min(1.0);
         let squared = fraction * fraction;
         self.outcomes += fraction * other.outcomes;
         self.failures += fraction * other.failures;
@@ -94,7 +94,8 @@
 
     /// The endpoints with the smallest shares of failures, up to this fraction of all outcomes.
     pub fn from_best_endpoints(mut endpoints: Vec<EndpointOutcomes>, fraction: f64) -> Arm {
-        let share = |endpoint: &EndpointOutcomes| endpoint.failures / endpoint.outcomes.max(TINY);
+        let share =
+            |endpoint: &EndpointOutcomes| endpoint.failures / endpoint.outcomes.max(MIN_DIVISOR);
         endpoints.sort_by(|a, b| share(a).total_cmp(&share(b)));
         let outcomes = endpoints.iter().map(|endpoint| endpoint.outcomes);
         let limit = fraction * outcomes.sum::<f64>();
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -53,7 +53,7 @@
 impl VarianceModel {
     /// Variance of a Bernoulli outcome, with a floor: an arm without failures may have had none
     /// only by sampling error.
-    fn bernoulli(&self, arm: &Arm) -> f64 {
+    fn bernoulli_variance(&self, arm: &Arm) -> f64 {
         let one_failure = 1.0 / (arm.outcomes + 3.0) / self.rarity.factor().max(1.0);
         let floor = self.floor_share.max(one_failure);
         let share = arm.failure_share().clamp(floor, 1.0 - floor);
@@ -62,16 +62,16 @@
 
     /// The design effect: how much more the arm's endpoints differ than sampling error explains, at
     /// least 1. An overload hits many outcomes of one endpoint together.
-    fn clustering(&self, arm: &Arm) -> f64 {
+    fn design_effect(&self, arm: &Arm) -> f64 {
         let share = arm.failure_share();
         let dispersion = arm.dispersion;
-        let squares = dispersion.failures_squared
+        let residual_squares = dispersion.failures_squared
             - 2.0 * share * dispersion.failures_times_outcomes
             + share * share * dispersion.outcomes_squared;
-        (squares / arm.outcomes.max(1.0) / self.bernoulli(arm)).max(1.0)
+        (residual_squares / arm.outcomes.max(1.0) / self.bernoulli_variance(arm)).max(1.0)
     }
 
-    /// The variances of both sides. The candidate's clustering is at least the baseline's, since
+    /// The variances of both sides. The candidate's design effect is at least the baseline's, since
     /// few endpoints do not show their own; where few rare failures have been seen, the baseline's
     /// share of failures stands in for the candidate's.
     pub fn variances(&self, arms: Arms) -> ArmVariances {
@@ -79,28 +79,28 @@
             candidate,
             baseline,
         } = arms;
-        let weight_of_own = match self.rarity {
+        let own_weight = match self.rarity {
             Rarity::Common => 1.0,
             Rarity::Rare(factor) => {
                 (candidate.outcomes * self.floor_share / factor.powi(4)).min(1.0)
             }
         };
-        let like_baseline = baseline.failure_share() * candidate.outcomes;
-        let like_baseline = self.bernoulli(&Arm {
-            failures: like_baseline,
+        let expected_failures = baseline.failure_share() * candidate.outcomes;
+        let at_baseline_share = self.bernoulli_variance(&Arm {
+            failures: expected_failures,
             ..candidate
         });
-        let with_one_more = Arm {
+        let smoothed = Arm {
             failures: candidate.failures + 1.0,
             outcomes: candidate.outcomes + 2.0,
             ..candidate
         };
-        let own = self.bernoulli(&with_one_more);
-        let variance = weight_of_own * own + (1.0 - weight_of_own) * like_baseline;
-        let clustering = self.clustering(&baseline);
+        let at_own_share = self.bernoulli_variance(&smoothed);
+        let variance = own_weight * at_own_share + (1.0 - own_weight) * at_baseline_share;
+        let baseline_effect = self.design_effect(&baseline);
         ArmVariances {
-            candidate: variance * self.clustering(&candidate).max(clustering),
-            baseline: self.bernoulli(&baseline) * clustering,
+            candidate: variance * self.design_effect(&candidate).max(baseline_effect),
+            baseline: self.bernoulli_variance(&baseline) * baseline_effect,
         }
     }
 }
