--- a/crates/policy/tests/policy/harness.rs
+++ b/crates/policy/tests/policy/harness.rs
@@ -1,5 +1,5 @@
-//! An instance of the policy in virtual time, builders of the events that it is fed with, and a
-//! typed record of the decisions that it makes.
+//! Test harness: runs an instance of the policy in virtual time, builds its input events, and
+//! records its decisions as typed values.
 
 mod builders;
 mod canary_traffic;
--- a/crates/policy/tests/policy/harness/builders.rs
+++ b/crates/policy/tests/policy/harness/builders.rs
@@ -1,4 +1,4 @@
-//! Builders of events, each with the values that most tests use.
+//! Builders of input events, with the defaults that most tests use.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 
 use super::millis;
 
-/// A request without an idempotency key, of cost 1, whose client waits for 900 ms.
+/// Builds a request. By default it has no idempotency key, a cost hint of 1, and 900 ms left until
+/// its client's deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestBuilder<'a> {
     request: IncomingRequest<'a>,
@@ -34,7 +35,7 @@
         self
     }
 
-    /// How long the client waits.
+    /// Time left until the client's deadline.
     pub fn time_remaining(mut self, time_remaining: Duration) -> Self {
         self.request.time_remaining = time_remaining;
         self
@@ -49,7 +50,7 @@
         policy.on_request(RequestId::new(id), self.request);
     }
 
-    /// Sends one request for each id.
+    /// Sends one request per id.
     pub fn send_all(self, policy: &mut Balancer, ids: std::ops::Range<u64>) {
         for id in ids {
             self.send(policy, id);
@@ -57,7 +58,8 @@
     }
 }
 
-/// A ready endpoint of build 1 in zone `z1` that has run for long.
+/// Builds an entry of the endpoint list. By default the endpoint is ready, runs build 1 in zone
+/// `z1`, and its process started long ago.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointBuilder<'a> {
     entry: EndpointEntry<'a>,
@@ -98,19 +100,19 @@
         self
     }
 
-    /// When its process started; `None` if it has run for long.
+    /// When the endpoint's process started; `None` if that was long ago.
     pub fn started_at(mut self, started_at: impl Into<Option<Timestamp>>) -> Self {
         self.entry.started_at = started_at.into();
         self
     }
 
-    /// Delivers the entry of the endpoint list.
+    /// Delivers the endpoint's entry in the endpoint list to the policy.
     pub fn list(self, policy: &mut Balancer) {
         policy.on_endpoint(self.entry);
     }
 }
 
-/// The rollout of a build at stage 0 that has just begun, without a traffic cap.
+/// Builds a rollout status. By default the rollout has just started stage 0, without a traffic cap.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutStatusBuilder {
     status: RolloutStatus,
@@ -147,19 +149,19 @@
         self
     }
 
-    /// Time since stage and phase began.
+    /// Time since the current stage and phase started.
     pub fn age(mut self, age: Duration) -> Self {
         self.status.age = age;
         self
     }
 
-    /// Delivers the status.
+    /// Delivers the rollout status to the policy.
     pub fn announce(self, policy: &mut Balancer) {
         policy.on_rollout_status(self.status);
     }
 }
 
-/// The end of an attempt.
+/// Builds the result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResultBuilder {
     result: AttemptResult,
@@ -167,7 +169,7 @@
 }
 
 impl AttemptResultBuilder {
-    /// An attempt that ends in this way and leaves its request open.
+    /// An attempt that ends with this outcome and leaves its request open.
     pub fn new(outcome: AttemptOutcome, duration: Duration) -> AttemptResultBuilder {
         AttemptResultBuilder {
             result: AttemptResult {
@@ -180,18 +182,18 @@
         }
     }
 
-    /// An attempt whose response answers its request.
+    /// A successful attempt whose response answers the request.
     pub fn succeeded(duration: Duration) -> AttemptResultBuilder {
         AttemptResultBuilder::new(AttemptOutcome::Succeeded, duration).finishes_request(true)
     }
 
-    /// Whether the client has its answer, or no longer waits for one.
+    /// Whether the request is finished: the client has its answer or no longer waits for one.
     pub fn finishes_request(mut self, finishes_request: bool) -> Self {
         self.result.request_finished = finishes_request;
         self
     }
 
-    /// The client disconnects just after the attempt has ended.
+    /// Makes the client disconnect right after the attempt has ended.
     pub fn client_disconnects(mut self) -> Self {
         self.client_disconnects = true;
         self
@@ -201,12 +203,12 @@
         self.result.duration
     }
 
-    /// Reports the end of the first attempt of a request.
+    /// Reports the result of the first attempt of a request.
     pub fn report(self, policy: &mut Balancer, request: u64) {
         self.report_attempt(policy, request, 0);
     }
 
-    /// Reports the end of an attempt of a request.
+    /// Reports the result of the attempt with this index.
     pub fn report_attempt(self, policy: &mut Balancer, request: u64, index: usize) {
         let request = RequestId::new(request);
         let attempt = AttemptId::new(request, AttemptIndex::new(index));
--- a/crates/policy/tests/policy/harness/canary_traffic.rs
+++ b/crates/policy/tests/policy/harness/canary_traffic.rs
@@ -1,11 +1,11 @@
-//! Requests during a canary, with failures of the candidate.
+//! Client traffic during a canary, with a configurable failure rate of the candidate.
 
 use tidescale_policy::types::AttemptOutcome;
 
 use super::{AttemptResultBuilder, Decisions, Exchange, Instance, millis};
 
-/// Fifty requests a second. Attempts at the candidate fail as often as is set, those at the
-/// baseline succeed.
+/// Traffic of fifty requests per second. A fixed share of the attempts at the candidate fails; all
+/// attempts at the baseline succeed.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryTraffic {
     failures_per_ten: u64,
@@ -13,7 +13,7 @@
 }
 
 impl CanaryTraffic {
-    /// `failures_per_ten` of ten attempts at the candidate fail.
+    /// Of every ten attempts at the candidate, `failures_per_ten` fail.
     pub fn new(failures_per_ten: u64) -> CanaryTraffic {
         CanaryTraffic {
             failures_per_ten,
@@ -21,12 +21,13 @@
         }
     }
 
-    /// Attempts at the candidate so far.
+    /// The number of attempts at the candidate so far.
     pub fn candidate_attempts(&self) -> u64 {
         self.candidate_attempts
     }
 
-    /// Sends one request and answers its first attempt; its client does not wait for a second one.
+    /// Sends one request and reports the result of its first attempt. If that fails, the client
+    /// disconnects, so the request is not retried.
     pub fn send(&mut self, instance: &mut Instance, id: u64) -> Decisions {
         let exchange = Exchange::new(id).response_after(millis(10));
         exchange.run(instance, |decisions| self.respond(decisions))
--- a/crates/policy/tests/policy/harness/exchange.rs
+++ b/crates/policy/tests/policy/harness/exchange.rs
@@ -1,10 +1,10 @@
-//! A request and the response to its first attempt.
+//! A request and the result of its first attempt.
 
 use std::time::Duration;
 
 use super::{AttemptResultBuilder, Decisions, IDEMPOTENT, Instance, RequestBuilder, millis};
 
-/// One request in one step, and the end of its first attempt in the next.
+/// A request, delivered in one step, and the result of its first attempt, delivered in the next.
 #[derive(Clone, Copy, Debug)]
 pub struct Exchange<'a> {
     id: u64,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// A request of the idempotent route, 10 ms after the last step.
+    /// A request on the idempotent route, sent 10 ms after the previous step.
     pub fn new(id: u64) -> Exchange<'a> {
         Exchange {
             id,
@@ -29,20 +29,21 @@
         self
     }
 
-    /// Time from the last step to the request.
+    /// Time from the previous step to the step of the request.
     pub fn pause(mut self, pause: Duration) -> Self {
         self.pause = pause;
         self
     }
 
-    /// Time from the request to the next step, if that is not the duration of the attempt.
+    /// Time from the request to the step that reports the result; by default, the attempt's
+    /// duration.
     pub fn response_after(mut self, response_after: Duration) -> Self {
         self.response_after = Some(response_after);
         self
     }
 
-    /// Sends the request, and reports how its first attempt ended. `respond` is given what the
-    /// policy decided in the step of the request. Returns the decisions of both steps.
+    /// Sends the request and reports the result of its first attempt, which `respond` chooses from
+    /// the decisions of the request's step. Returns the decisions of both steps.
     pub fn run(
         self,
         instance: &mut Instance,
--- a/crates/policy/tests/policy/harness/saved_state.rs
+++ b/crates/policy/tests/policy/harness/saved_state.rs
@@ -1,4 +1,4 @@
-//! What an instance saves for the next one, in memory.
+//! An in-memory snapshot of an instance, from which another instance can be restored.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{
@@ -10,7 +10,7 @@
 
 use super::Instance;
 
-/// The restored values of an [`EndpointRecord`].
+/// The fields of an [`EndpointRecord`] that are restored, as owned values.
 #[derive(Clone, Debug)]
 struct SavedEndpoint {
     name: String,
@@ -18,7 +18,7 @@
     ejected: bool,
 }
 
-/// An [`OutcomeRecord`] with values of its own.
+/// An [`OutcomeRecord`] with owned values.
 #[derive(Clone, Debug)]
 struct SavedOutcomes {
     endpoint: String,
@@ -39,14 +39,14 @@
     build: BuildNumber,
 }
 
-/// A [`RouteRecord`] with values of its own.
+/// A [`RouteRecord`] with owned values.
 #[derive(Clone, Debug)]
 struct SavedRoute {
     route: Option<String>,
     baseline: RouteLatency,
 }
 
-/// The records of one instance.
+/// The saved records of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct SavedState {
     endpoints: Vec<SavedEndpoint>,
@@ -57,7 +57,8 @@
 }
 
 impl SavedState {
-    /// Saves an instance, one record at a time.
+    /// Saves an instance. Endpoints and outcomes are saved one record per call, which exercises the
+    /// resumption between calls.
     pub fn of(instance: &mut Instance) -> SavedState {
         let mut saved = SavedState::default();
         let policy = instance.policy_mut();
@@ -73,7 +74,7 @@
         saved
     }
 
-    /// Restores all records.
+    /// Restores all records into a policy.
     pub fn restore(&self, policy: &mut Balancer) {
         for saved in &self.endpoints {
             policy.restore_endpoint(&saved.name, Some(saved.slowdown), saved.ejected);
@@ -100,19 +101,19 @@
         }
     }
 
-    /// The number of records of endpoints with this name.
+    /// The number of endpoint records with this name.
     pub fn records_of_endpoint(&self, name: &str) -> usize {
         let is_named = |saved: &&SavedEndpoint| saved.name == name;
         self.endpoints.iter().filter(is_named).count()
     }
 
-    /// Outcomes in the first test, of all endpoints and builds.
+    /// The number of outcomes in the first test, over all endpoints and builds.
     pub fn total_outcomes(&self) -> f64 {
         let first_test = self.outcomes.iter().map(|saved| saved.outcomes[0]);
         first_test.sum()
     }
 
-    /// The build that had been rejected.
+    /// The rejected build, if there is one.
     pub fn rejected_build(&self) -> Option<BuildNumber> {
         self.rejection.map(|saved| saved.build)
     }
--- a/crates/policy/tests/policy/harness/scenario.rs
+++ b/crates/policy/tests/policy/harness/scenario.rs
@@ -1,4 +1,4 @@
-//! What most tests start from: settings, routes, builds and a small fleet.
+//! The settings, routes, builds and small fleet that most tests use.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 
 use super::EndpointBuilder;
 
-/// When instances start, unless a test says otherwise.
+/// The default start time of instances.
 pub const START: Timestamp = Timestamp::from_micros(100_000_000);
 
 /// The route whose requests may be executed any number of times.
 pub const IDEMPOTENT: RouteIndex = RouteIndex::new(0);
-/// The route whose requests may be repeated for 300 ms within one zone.
+/// The route whose requests may be repeated within one zone for 300 ms, by their idempotency key.
 pub const IDEMPOTENCY_KEY: RouteIndex = RouteIndex::new(1);
 /// The route whose requests must not be executed twice.
 pub const NOT_IDEMPOTENT: RouteIndex = RouteIndex::new(2);
 
-/// The build that serves before a rollout.
+/// The build that is released before the rollout.
 pub const BASELINE: u32 = 1;
 /// The build under evaluation.
 pub const CANDIDATE: u32 = 2;
 
-/// Milliseconds as a duration.
+/// A duration of this many milliseconds.
 pub const fn millis(number: u64) -> Duration {
     Duration::from_millis(number)
 }
@@ -49,7 +49,8 @@
     ]
 }
 
-/// A single instance in zone `z1`, with everything allowed and three stages.
+/// Settings of a single instance in zone `z1`, with three stages and with health checks,
+/// cancellation and hedging allowed.
 pub fn settings() -> Settings {
     Settings {
         instance_index: 0,
@@ -84,7 +85,7 @@
     }
 }
 
-/// A rollout of one stage that takes requests of all routes.
+/// Settings with a single stage that is open to requests of all routes.
 pub fn single_stage_settings(traffic_cap: f64) -> Settings {
     Settings {
         stage_caps: vec![traffic_cap],
@@ -93,14 +94,15 @@
     }
 }
 
-/// Lists ready endpoints of one build in zone `z1`.
+/// Adds ready endpoints of one build in zone `z1` to the endpoint list.
 pub fn list_endpoints(policy: &mut Balancer, names: &[&str], build: u32) {
     for name in names {
         EndpointBuilder::new(name).build(build).list(policy);
     }
 }
 
-/// Lists the endpoints `o1` and `o2` of the baseline, and `n1` and `n2` of the candidate.
+/// Adds the endpoints `o1` and `o2` of the baseline and `n1` and `n2` of the candidate to the
+/// endpoint list.
 pub fn list_canary_fleet(policy: &mut Balancer) {
     list_endpoints(policy, &["o1", "o2"], BASELINE);
     list_endpoints(policy, &["n1", "n2"], CANDIDATE);
