--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -1,5 +1,6 @@
-//! The random events of a history: rollouts, replaced endpoints, requests, and the ends of
-//! attempts, health checks and votes. The order of the draws is part of each history.
+//! Generates the random events of a history: rollouts, endpoint replacements, requests, and the
+//! results of attempts, health checks and votes. The order of the random draws is part of a
+//! history: reordering them changes every history.
 
 use std::time::Duration;
 
@@ -15,14 +16,15 @@
 };
 use crate::harness::{AttemptResultBuilder, RequestBuilder, START, millis};
 
-/// At first an instance learns the capacity of the endpoints, and nothing else happens.
+/// Time at the start of a history without changes to the rollout or the endpoints, during which the
+/// instance learns the endpoints' capacity.
 const QUIET_TIME: Duration = Duration::from_secs(1);
-/// For this long most requests are of one route, or limits by route and over all routes would
-/// hardly differ.
+/// Period during which most requests are on the same route. Without it, limits per route and limits
+/// over all routes would hardly differ.
 const DOMINANT_ROUTE_PERIOD: Duration = millis(1500);
-/// Age of a process when its endpoint is listed again.
+/// Age of the new process when a replaced endpoint is listed as ready again.
 const NEW_PROCESS_AGE: Duration = millis(300);
-/// At least this number of endpoints stays ready.
+/// The minimum number of ready endpoints.
 const MIN_READY_ENDPOINTS: usize = 2;
 /// Id of the first request.
 const FIRST_REQUEST_ID: u64 = 1000;
@@ -66,7 +68,7 @@
         policy.on_rollout_status(self.rollout);
     }
 
-    /// A lower cap applies after the grace period.
+    /// Applies a lowered cap once its grace period is over.
     fn apply_lower_cap(&mut self) {
         if self.lower_cap_applies_at.is_some_and(|at| self.now >= at) {
             self.effective_cap = EffectiveCap {
@@ -77,7 +79,8 @@
         }
     }
 
-    /// A new stage or build, or a build that is rolled back or withdrawn. Caps rise and fall.
+    /// Starts another stage or build, or releases, rolls back or withdraws the current build. The
+    /// traffic cap may rise or fall.
     fn advance_rollout(&mut self, policy: &mut Balancer) {
         let previous_build = self.rollout.build;
         self.rollout = self.next_rollout_status();
@@ -162,7 +165,7 @@
 
 /// Endpoints.
 impl Observer {
-    /// An endpoint drains, is removed, or is listed again with another process and perhaps another
+    /// Drains or removes an endpoint, or lists it again with a new process and possibly another
     /// build.
     fn change_endpoint(&mut self, policy: &mut Balancer) {
         let index = (self.random.rand_u64() % ENDPOINT_COUNT) as usize;
@@ -194,7 +197,7 @@
         self.list_endpoint(policy, index);
     }
 
-    /// The newest build or the one before. At times the newest one is not announced yet.
+    /// The newest build or the one before it. Sometimes the newest one has not been announced yet.
     fn build_of_new_process(&mut self, change: u64) -> BuildNumber {
         let is_unannounced = self.random.rand_u64().is_multiple_of(8);
         let newest = self.rollout.build.get() + u32::from(is_unannounced);
@@ -221,7 +224,7 @@
         }
     }
 
-    /// A client complains about an answer of an endpoint.
+    /// A client flags an answer that an endpoint gave 100 ms ago.
     fn flag_answer(&mut self, policy: &mut Balancer) {
         let index = (self.random.rand_u64() % ENDPOINT_COUNT) as usize;
         policy.on_answer_flagged(&endpoint_name(index), millis(100));
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Ends the attempts whose end is known by now, and reports them to the policy.
+    /// Ends the attempts whose outcome is known by now and reports them to the policy.
     fn end_attempts(&mut self, policy: &mut Balancer) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
@@ -293,7 +296,7 @@
         });
     }
 
-    /// How an attempt ends, if its end is known by now.
+    /// Draws the outcome of an attempt if that is known by now.
     fn draw_outcome(&mut self, id: RequestId, index: usize) -> Option<AttemptOutcome> {
         let request = &self.requests[&id];
         let attempt = &request.attempts[index];
@@ -304,7 +307,7 @@
         if !attempt.is_in_flight() || !is_known {
             return None;
         }
-        // Every second build fails often, or there would be nothing to vote on.
+        // Every second build has a high failure rate, so that there is a reason to vote.
         let is_failing_build = endpoint.build.get().is_multiple_of(2);
         let percentile = self.random.rand_u64() % 100;
         Some(match percentile {
--- a/crates/policy/tests/policy/rule_checker/runner.rs
+++ b/crates/policy/tests/policy/rule_checker/runner.rs
@@ -1,4 +1,4 @@
-//! Plays one history.
+//! Runs the policy and the observer over one random history.
 
 use std::time::Duration;
 
@@ -14,14 +14,15 @@
 /// The number of steps in a history.
 const STEPS_PER_HISTORY: usize = 1500;
 
-/// The settings that the policy has, and those against which its decisions are held.
+/// Runs a policy with one set of settings and checks its decisions against another, usually the
+/// same.
 pub struct HistoryRunner {
     pub policy_settings: Settings,
     pub observer_settings: Settings,
 }
 
 impl HistoryRunner {
-    /// Plays the history with this seed. Returns the first violation of a rule.
+    /// Runs the history with this seed. Returns the first violation of a rule.
     pub fn run(&self, seed: u64) -> Option<Violation> {
         let mut observer = Observer::new(self.observer_settings.clone(), seed);
         let mut policy = Balancer::new(self.policy_settings.clone(), seed, START);
