--- a/crates/policy/tests/policy/admission.rs
+++ b/crates/policy/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are served, and which are rejected.
+//! Admission and rejection of requests: priorities, concurrency limits, deadlines and shutdown.
 
 use std::time::Duration;
 
@@ -28,7 +28,8 @@
     }
 }
 
-/// What the older of two waiting requests is worth, and which of them is then sent first.
+/// Priority weight of the older of two waiting requests, and the attempt that is started first; the
+/// newer request has a weight of 1.
 struct PriorityCase {
     older_request_weight: f64,
     expected: Decision,
@@ -70,7 +71,7 @@
     }
 }
 
-/// The first request in flight, if at least 20 requests have been sent since.
+/// Removes and returns the oldest request in flight if `id` is at least 20 higher.
 fn take_oldest(in_flight: &mut Vec<u64>, id: u64) -> Option<u64> {
     let is_due = in_flight.first().is_some_and(|oldest| id >= oldest + 20);
     is_due.then(|| in_flight.remove(0))
@@ -78,8 +79,8 @@
 
 #[test]
 fn slow_fleet_is_not_left_idle_if_latency_is_independent_of_load() {
-    // All responses are slow, however few attempts are in flight: lower limits would only reject
-    // requests that the endpoints could serve.
+    // All responses are slow, regardless of the number of attempts in flight: a lower concurrency
+    // limit would not make them faster, and would reject requests that the endpoints could serve.
     let mut instance = Instance::new(Settings {
         instance_count: 2,
         ..settings()
@@ -103,8 +104,8 @@
 
 #[test]
 fn shutdown_rejects_all_open_requests_before_its_deadline() {
-    // However long the client waits: waiting without an endpoint, or in flight and timed out by
-    // the host.
+    // The clients would wait for longer than the shutdown takes. Without an endpoint the requests
+    // are queued; with one they are in flight until the host times them out.
     for endpoints in [&[][..], &["m1"]] {
         let mut instance = Instance::new(settings());
         let request = RequestBuilder::new(IDEMPOTENT).time_remaining(Duration::from_secs(8));
@@ -138,7 +139,7 @@
 
 #[test]
 fn waiting_request_is_rejected_in_the_step_in_which_its_time_is_over() {
-    // There are no steps but those that the policy has requested.
+    // All further steps take place at the wake-up times that the policy requests.
     for time_remaining in [333, 500, 504, 777].map(millis) {
         let mut instance = Instance::new(settings());
         let sent_at = instance.now();
--- a/crates/policy/tests/policy/evaluation.rs
+++ b/crates/policy/tests/policy/evaluation.rs
@@ -1,5 +1,5 @@
-//! The evaluation of a canary against the baseline that serves beside it, and the votes that follow
-//! from it.
+//! Evaluation of a canary against the baseline, and the resulting votes. Names of endpoints of the
+//! baseline start with `o`, those of the candidate with `n`.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     list_endpoints, millis, rollback_vote, settings, single_stage_settings,
 };
 
-/// An instance that sees two endpoints of each build while the candidate is a canary.
+/// An instance with two endpoints of each build while the candidate is a canary.
 fn instance_during_canary(traffic_cap: f64) -> Instance {
     let mut instance = Instance::new(single_stage_settings(0.5));
     instance.step_now(|policy| {
@@ -24,7 +24,8 @@
     instance
 }
 
-/// Votes to roll back a candidate of which this number of ten attempts fail, in six seconds.
+/// Number of rollback votes cast in six seconds if this number of every ten attempts at the
+/// candidate fail.
 fn rollback_votes(failures_in_ten: u64) -> usize {
     let mut instance = instance_during_canary(0.5);
     let mut traffic = CanaryTraffic::new(failures_in_ten);
@@ -45,7 +46,7 @@
     assert_eq!(rollback_votes(0), 0);
 }
 
-/// What the platform makes of a vote, and how often the vote is then cast again.
+/// The platform's response to a vote, and how often the vote is cast again within a second.
 struct VoteCase {
     result: VoteResult,
     repeat_votes: usize,
@@ -70,8 +71,8 @@
     },
 ];
 
-/// Sends requests, all of which fail at the candidate, until a vote to roll it back has been cast.
-/// Returns the number of such votes.
+/// Sends requests until a rollback vote is cast; all attempts at the candidate fail. Returns the
+/// number of rollback votes cast.
 fn serve_until_rollback_vote(instance: &mut Instance) -> usize {
     let mut votes = (0..500).map(|id| {
         let exchange = Exchange::new(id).response_after(millis(10));
@@ -106,8 +107,8 @@
     }
 }
 
-/// Sends eight requests in one step and ends all of them in the next; those at the candidate end
-/// with `candidate_outcome`.
+/// Sends eight requests in one step and reports the results of their attempts in the next; attempts
+/// at the candidate end with `candidate_outcome`, others succeed.
 fn send_batch(
     instance: &mut Instance,
     first_id: u64,
@@ -130,8 +131,8 @@
     })
 }
 
-/// Whether the candidate is rolled back after all attempts in flight at its endpoint have ended in
-/// this way together, three times.
+/// Whether the candidate is rolled back after all attempts in flight at its endpoint have ended
+/// simultaneously with this outcome, three times.
 fn is_rolled_back_after(outcome: AttemptOutcome) -> bool {
     let mut instance = Instance::new(single_stage_settings(1.0));
     instance.step_now(|policy| {
@@ -157,7 +158,7 @@
     assert!(is_rolled_back_after(AttemptOutcome::Failed));
 }
 
-/// Replaces the fleet by 16 endpoints of the candidate.
+/// Replaces the fleet with 16 endpoints of the candidate.
 fn replace_fleet_with_candidate(policy: &mut Balancer) {
     policy.on_complete_endpoint_list();
     for index in 0..16 {
@@ -166,7 +167,7 @@
     RolloutStatusBuilder::canary(CANDIDATE).announce(policy);
 }
 
-/// The end of the last attempts of 16 at a candidate that has replaced the baseline.
+/// Outcome of the last `failures` of 16 attempts at a candidate that has replaced the baseline.
 struct ReplacementCase {
     failures: u64,
     outcome: AttemptOutcome,
@@ -239,8 +240,8 @@
     assert!(decisions.count(&rollback_vote()) > 0);
 }
 
-/// Whether the candidate is rolled back if its responses take this long and the baseline's 20 ms,
-/// by an instance that has seen three responses of each route before the rollout.
+/// Whether the candidate is rolled back if its responses take this long and those of the baseline
+/// take 20 ms. The instance has received three responses of each route before the rollout.
 fn is_rolled_back_at_candidate_latency(candidate_latency: Duration) -> bool {
     let mut instance = Instance::new(single_stage_settings(0.5));
     instance.step_now(|policy| list_endpoints(policy, &["o1", "o2"], BASELINE));
@@ -275,8 +276,8 @@
     assert!(is_rolled_back_at_candidate_latency(millis(70)));
 }
 
-/// Whether the candidate is rolled back if responses of the baseline's endpoints take this long
-/// during its rollout, and took 10 ms before.
+/// Whether the candidate is rolled back if the responses of both builds take this long during its
+/// rollout, and those of the baseline took 10 ms before it.
 fn is_rolled_back_at_fleet_latency(latency_during_rollout: Duration) -> bool {
     let mut instance = Instance::new(Settings {
         stage_caps: vec![0.1, 1.0],
--- a/crates/policy/tests/policy/fleet_baseline.rs
+++ b/crates/policy/tests/policy/fleet_baseline.rs
@@ -1,4 +1,4 @@
-//! How fast the fleet was before a rollout, and when that is learned.
+//! The fleet baseline, which is the latency of the fleet before a rollout, and when it is updated.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     assert_eq!(decisions.votes().count(), 0);
 }
 
-/// An instance with four endpoints that serves twenty requests a second.
+/// An instance with four endpoints that receives twenty requests a second.
 struct SteadyTraffic {
     instance: Instance,
     last_id: u64,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Serves for this many seconds with responses of this latency. Returns the baseline latency in
-    /// milliseconds that the instance has learned by then.
+    /// Serves requests with responses of this latency for a number of seconds. Returns the
+    /// instance's resulting baseline latency in milliseconds.
     fn serve(&mut self, latency: Duration, seconds: u64) -> f64 {
         for _ in 0..seconds * 20 {
             self.last_id += 1;
@@ -80,7 +80,8 @@
         "{baseline_before} {baseline_after}"
     );
 
-    // Some time later it is learned again, without what was seen during the rollout.
+    // Some time after the rollout the baseline is updated again, and excludes the responses
+    // received during the rollout.
     traffic.serve(millis(10), 5);
     traffic.announce(CANDIDATE + 1, RolloutPhase::Canary);
     let baseline = traffic.instance.policy().fleet_baseline();
@@ -89,7 +90,7 @@
         "{baseline:?}"
     );
 
-    // A rollout that follows with no steady time in between is held against the same baseline.
+    // A rollout that begins before the fleet is steady again is compared with the same baseline.
     traffic.announce(CANDIDATE + 1, RolloutPhase::RollingBack);
     traffic.serve(millis(40), 3);
     traffic.announce(CANDIDATE + 2, RolloutPhase::Canary);
