--- a/crates/policy/tests/policy/health.rs
+++ b/crates/policy/tests/policy/health.rs
@@ -1,4 +1,4 @@
-//! Ejection of endpoints, health checks and recovery.
+//! Ejection of endpoints, health checks, recovery and panic mode.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
     list_endpoints, millis, reject, second_attempt, settings,
 };
 
-/// How the health check of an endpoint ends, and what becomes of the request during which its
-/// connection broke.
+/// Outcome of an endpoint's health check after a reset connection, and the decision on the request
+/// that was in flight on it.
 struct CrashCase {
     health_check: AttemptOutcome,
     expected: Decision,
@@ -86,8 +86,8 @@
     assert_eq!(decisions, [first_attempt(9, "m1")]);
 }
 
-/// Replaces the fleet by one endpoint, which serves one request. After some of the replacements, it
-/// is removed while the request is in flight.
+/// Replaces the fleet with one endpoint, which serves one request. In every seventh replacement the
+/// endpoint is removed while the request is in flight.
 fn replace_fleet(instance: &mut Instance, replacement: u32) {
     let name = format!("m{replacement}");
     let build = replacement / 50;
@@ -132,7 +132,8 @@
     assert_listed_again_as_one_endpoint(&mut instance, "m0");
 }
 
-/// A name that is listed again has one entry, as last listed.
+/// Asserts that an endpoint that is listed again under its old name has a single entry, with the
+/// attributes that were listed last.
 fn assert_listed_again_as_one_endpoint(instance: &mut Instance, name: &str) {
     let request = RequestBuilder::new(IDEMPOTENT);
     let while_ready = instance.step_now(|policy| {
@@ -157,8 +158,8 @@
     status.expect("the endpoint is listed").ejected
 }
 
-/// Sends requests until an endpoint is ejected, which refuses them all. Attempts at others are not
-/// sent.
+/// Sends requests until an endpoint is ejected for refusing them all. Attempts at other endpoints
+/// are reported as not sent.
 fn eject(instance: &mut Instance, name: &str) {
     let mut ids = 10_000..;
     while let Some(id) = ids.next().filter(|_| !is_ejected(instance, name)) {
@@ -174,7 +175,8 @@
     }
 }
 
-/// Ejects an endpoint three times, so that it must pass 16 health checks to return the next time.
+/// Ejects an endpoint and returns it to service three times, after which it must pass 16 health
+/// checks to return from the next ejection.
 fn raise_required_health_checks(instance: &mut Instance, name: &str) {
     for required in [2, 4, 8] {
         eject(instance, name);
@@ -188,8 +190,8 @@
     }
 }
 
-/// An instance whose endpoints `m1` and `m2` have both just been ejected, and would each have to
-/// pass 16 health checks while the other was in service.
+/// An instance whose two endpoints `m1` and `m2` have just been ejected. Outside panic mode, each
+/// would have to pass 16 health checks.
 fn instance_in_panic_mode() -> Instance {
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| list_endpoints(policy, &["m1", "m2"], BASELINE));
@@ -207,8 +209,8 @@
     instance
 }
 
-/// Ten steps of 10 ms: a request in the first, and in the sixth the ends of a health check of each
-/// endpoint if these arrive.
+/// Runs ten steps of 10 ms: sends a request in the first and, unless `health_check` is `None`,
+/// reports that outcome of a health check of each endpoint in the sixth.
 fn send_request_and_end_health_checks(
     instance: &mut Instance,
     id: u64,
@@ -228,7 +230,7 @@
     decisions
 }
 
-/// Sends up to 20 requests, until one of them has been sent to an endpoint.
+/// Sends up to 20 requests until an attempt is started for one of them; returns whether one was.
 fn starts_an_attempt(instance: &mut Instance, health_check: Option<AttemptOutcome>) -> bool {
     let mut ids = 100..120;
     ids.any(|id| {
@@ -238,7 +240,8 @@
     })
 }
 
-/// How health checks end, if their ends arrive, and until when a request must have been sent.
+/// Outcome of the health checks, or `None` if no outcome is reported, and the longest time until an
+/// attempt must be started.
 struct PanicModeCase {
     health_check: Option<AttemptOutcome>,
     max_recovery_time: Duration,
@@ -246,9 +249,9 @@
 
 #[test]
 fn instance_whose_endpoints_are_all_ejected_recovers() {
-    // Health checks are lost on this instance's way to the endpoints, so that a trial request has
-    // to show that they serve; or they pass health checks, of which two are enough while no
-    // endpoint is in service, although each has been ejected often before.
+    // Either health checks are lost on the network between this instance and the endpoints, so that
+    // only a trial request can end the ejection; or the endpoints pass health checks, two of which
+    // are enough in panic mode despite the earlier ejections.
     let cases = [
         PanicModeCase {
             health_check: None,
--- a/crates/policy/tests/policy/idempotency.rs
+++ b/crates/policy/tests/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! Which requests may be attempted again after an attempt that may have executed.
+//! Retries of requests after an attempt that may have been executed.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
     millis, second_attempt, settings,
 };
 
-/// The end of an attempt at `m1` in zone `z1`, and what follows.
+/// The result of an attempt at `m1` in zone `z1`, and the expected retry.
 struct RetryCase {
     route: RouteIndex,
     outcome: AttemptOutcome,
     duration: Duration,
-    /// Of the endpoint `m2`.
+    /// Zone of the endpoint `m2`.
     other_zone: &'static str,
-    /// Endpoint of the second attempt; without one, the request fails.
+    /// Endpoint of the second attempt; `None` if the request fails instead.
     retried_at: Option<&'static str>,
 }
 
@@ -116,7 +116,7 @@
 
 #[test]
 fn request_with_idempotency_key_is_not_retried_after_its_endpoint_has_restarted() {
-    // The name may now be used in another zone, and the zone of the first attempt is not known.
+    // The endpoint has restarted in another zone, so the zone of the first attempt is not known.
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| {
         EndpointBuilder::new("m1").zone("z2").list(policy);
@@ -136,7 +136,8 @@
     assert_eq!(decisions, [fail(7)]);
 }
 
-/// A second attempt whose connection is established this long after the first attempt was sent.
+/// Time from the first attempt until the connection of the second one is established, and whether
+/// the second one may be written then.
 struct LateRetryCase {
     route: RouteIndex,
     written_after: Duration,
--- a/crates/policy/tests/policy/key_builds.rs
+++ b/crates/policy/tests/policy/key_builds.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys that must not go back from a later build to an earlier one.
+//! Monotonic key builds: an idempotency key that a later build has answered is not sent to an
+//! earlier one, except during a rollback.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::settings::Settings;
@@ -10,11 +11,11 @@
     settings,
 };
 
-/// Where a key goes that the candidate has answered.
+/// Expected attempt of a request whose key the candidate has already answered.
 struct KeyCase {
     monotonic_key_builds: bool,
     phase: RolloutPhase,
-    /// The candidate's endpoint drains, so that only the baseline's can be chosen.
+    /// The candidate's endpoint is draining, so only the baseline's can be selected.
     candidate_drains: bool,
     expected: Decision,
 }
@@ -97,7 +98,7 @@
     request.send(policy, id);
 }
 
-/// An instance that has request 1 with the key `a` in flight at the only endpoint, during a canary.
+/// An instance during a canary, with request 1 with the key `a` in flight at its only endpoint.
 fn instance_with_key_in_flight_at(endpoint: &str, build: u32) -> Instance {
     let mut instance = Instance::new(monotonic_settings());
     let decisions = instance.step_now(|policy| {
@@ -109,8 +110,8 @@
     instance
 }
 
-/// An instance that has one request with the key `a` in flight at the candidate, and a ready
-/// endpoint of the baseline only.
+/// An instance with request 1 with the key `a` in flight at the candidate, whose endpoint `m2` is
+/// draining. The only ready endpoint is `m1`, which runs the baseline.
 fn instance_with_key_in_flight_at_candidate() -> Instance {
     let mut instance = instance_with_key_in_flight_at("m2", CANDIDATE);
     instance.step_now(|policy| {
@@ -165,10 +166,10 @@
     assert!(!may_write);
 }
 
-/// How the attempt at the candidate ended, and whether the key may then be sent to the baseline.
+/// Outcome of the attempt at the candidate, and whether the key may then be sent to the baseline.
 struct AnswerCase {
     outcome: AttemptOutcome,
-    /// The baseline answers another request with the same key after that.
+    /// The baseline then answers an earlier request with the same key.
     baseline_answers_later: bool,
     may_return_to_baseline: bool,
 }
@@ -197,8 +198,8 @@
     AnswerCase::new(AttemptOutcome::Refused, true),
 ];
 
-/// An instance with one request in flight at each build, 1 at the baseline and then 2 at the
-/// candidate, both with the key `a`.
+/// An instance with two requests with the key `a` in flight: first request 1 at the baseline, then
+/// request 2 at the candidate.
 fn instance_with_key_in_flight_at_both_builds() -> Instance {
     let mut instance = instance_with_key_in_flight_at("m1", BASELINE);
     let at_candidate = instance.step(millis(1), |policy| {
--- a/crates/policy/tests/policy/late_connections.rs
+++ b/crates/policy/tests/policy/late_connections.rs
@@ -1,5 +1,5 @@
-//! An attempt that is written only once its connection is established: what has changed since it
-//! was chosen forbids it.
+//! Late connections: an attempt is not written if, by the time its connection is established, a
+//! change since its start forbids it.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     first_attempt, list_endpoints, millis, settings,
 };
 
-/// What happens before the connection is established, and whether the request may be written then.
+/// A change before the connection is established, and whether the attempt may still be written.
 struct LateConnectionCase {
     name: &'static str,
     change: fn(&mut Balancer),
