--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn second_attempt_waits_for_the_end_of_the_first_without_known_latencies() {
-    // A hedged request would double the load under congestion, and a long request takes as long
-    // elsewhere.
+    // A hedged request would double the load under congestion, and a request that is expensive
+    // takes as long at another endpoint.
     let mut instance = Instance::new(settings());
     let request = RequestBuilder::new(IDEMPOTENT).time_remaining(millis(2000));
     instance.step_now(|policy| {
@@ -30,12 +30,13 @@
     assert_eq!(after_failure, [second_attempt(1, "m2")]);
 }
 
-/// Whether a request is hedged after its first attempt has been in flight for this long.
+/// How long the first attempt of a request has been in flight, and whether the request is hedged by
+/// then.
 struct HedgeCase {
     name: &'static str,
     route: RouteIndex,
     age: Duration,
-    /// Requests that the endpoint has rejected under load just before.
+    /// Number of requests that the endpoint has rejected as overloaded just before.
     rejected_under_load: u64,
     is_hedged: bool,
 }
@@ -89,7 +90,7 @@
     },
 ];
 
-/// An instance that knows the latency of the endpoint `m1` from 120 responses.
+/// An instance that has measured the latency of the endpoint `m1` over 120 responses.
 fn instance_with_known_latency() -> Instance {
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| list_endpoints(policy, &["m1"], BASELINE));
@@ -100,7 +101,8 @@
     instance
 }
 
-/// Requests that are rejected under load count as slow responses, however long they took.
+/// Lets the endpoint `m1` reject requests as overloaded. The rejections count as slow responses,
+/// regardless of their duration.
 fn reject_under_load(instance: &mut Instance, requests: u64) {
     for id in 200..200 + requests {
         let rejected = AttemptResultBuilder::new(AttemptOutcome::Overloaded, Duration::ZERO);
@@ -117,7 +119,7 @@
     sums.latency / sums.responses
 }
 
-/// The attempts and rejections among decisions.
+/// Filters decisions for started attempts and rejected requests.
 fn attempts_and_rejections(decisions: &Decisions) -> Decisions {
     decisions.filtered(|decision| {
         matches!(
@@ -156,8 +158,8 @@
         });
         let is_cancel = |decision: &Decision| matches!(decision, Decision::CancelAttempt { .. });
         assert_eq!(decisions.filtered(is_cancel), [cancel(900)], "{name}");
-        // The latency of the first attempt counts, or the estimate would fall with each hedged
-        // request.
+        // The first attempt's latency must be included in the mean, or each hedged request would
+        // lower the latency estimate.
         let latency_after = mean_latency(&mut instance);
         let is_counted = latency_after > latency_before * 1.01;
         assert!(
--- a/crates/policy/tests/policy/routing.rs
+++ b/crates/policy/tests/policy/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint.
+//! Selection of an endpoint by zone, latency and state.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -11,7 +11,8 @@
     RequestBuilder, list_endpoints, millis, settings,
 };
 
-/// Latencies of both zones, and the accepted number of attempts in the instance's own zone, of 300.
+/// Latencies in both zones, and the accepted range of the number of attempts in the instance's own
+/// zone, out of 300. Names of endpoints in the own zone start with `h`, those of others with `f`.
 struct ZoneCase {
     own_zone: Duration,
     other_zone: Duration,
@@ -79,7 +80,7 @@
                 .attempts()
                 .any(|(request, name)| request.get() == id && name == "m1");
             attempts += usize::from(is_at_first);
-            // It responds to one request in three.
+            // Two in three requests at `m1` time out.
             if is_at_first && id % 3 > 0 {
                 AttemptResultBuilder::new(AttemptOutcome::TimedOut, millis(900))
                     .finishes_request(true)
@@ -92,7 +93,7 @@
     assert!(attempts < 100, "{attempts}");
 }
 
-/// A change of the endpoint list after which an endpoint takes no new requests.
+/// A change of the endpoint list after which an endpoint gets no new attempts.
 struct ListChange {
     list_is_complete: bool,
     listed_state: Option<EndpointState>,
--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -1,4 +1,5 @@
-//! An instance that restores what its predecessor saved, compared with one that starts without it.
+//! Snapshots: instances that restore the state saved by a predecessor, compared with instances that
+//! start without it.
 
 use std::time::Duration;
 
@@ -27,25 +28,25 @@
     instance
 }
 
-/// A restarted instance, which starts with what was saved.
+/// An instance that restarts during a canary and restores the saved state.
 fn restart_during_canary(now: Timestamp, saved: &SavedState) -> Instance {
     let mut instance = start_during_canary(now);
     instance.step_now(|policy| saved.restore(policy));
     instance
 }
 
-/// Requests of which some fail at the candidate.
+/// A series of requests; `failures_in_ten` of every ten attempts at the candidate fail.
 struct RequestSeries {
     requests: u64,
     failures_in_ten: u64,
 }
 
 impl RequestSeries {
-    /// Sends the requests until the candidate is rejected. Returns the number of attempts at it by
-    /// then; `None` if it is not rejected.
+    /// Sends the requests until the candidate is rejected. Returns the number of attempts at the
+    /// candidate until then, or `None` if it is not rejected.
     fn attempts_until_rejection(&self, instance: &mut Instance) -> Option<u64> {
         let mut traffic = CanaryTraffic::new(self.failures_in_ten);
-        // Ids of instances that follow on one another differ.
+        // Makes request ids differ between an instance and its predecessor.
         let first_id = instance.now().as_micros();
         for id in first_id..first_id + self.requests {
             traffic.send(instance, id);
@@ -62,7 +63,7 @@
     failures_in_ten: 4,
 };
 
-/// What an instance saves that has rejected the candidate, and when.
+/// The state saved by an instance that has rejected the candidate, and when it was saved.
 fn saved_after_rejection() -> (SavedState, Timestamp) {
     let mut instance = start_during_canary(START);
     assert!(
@@ -141,8 +142,8 @@
     );
 }
 
-/// An instance of four endpoints that has restored `m1` as slow. Nothing may be checked, so it is
-/// not ejected either.
+/// An instance with four endpoints that has restored `m1` as slow. Health checks are disabled, so a
+/// restored ejection has no effect.
 fn instance_with_restored_slow_endpoint(ejected: bool) -> Instance {
     let mut instance = Instance::new(Settings {
         health_checks: false,
@@ -167,13 +168,13 @@
     instance
 }
 
-/// The share of `m1` in the attempts for ids up to `last_id`, from the time `from` on, while it is
-/// no longer slow.
+/// Sends requests with ids up to `last_id` to a fleet in which `m1` is no longer slow. Returns the
+/// share of `m1` in the attempts, leaving out those within `from` of the start.
 fn share_of_restored_endpoint(ejected: bool, from: Duration, last_id: u64) -> f64 {
     let mut instance = instance_with_restored_slow_endpoint(ejected);
     let (mut attempts, mut requests) = (0, 0);
     for id in 0..=last_id {
-        // About the baseline latency.
+        // From 5 ms to 15 ms, around the baseline latency of 10 ms.
         let response = AttemptResultBuilder::succeeded(millis(5 + id * 7 % 11));
         let exchange = Exchange::new(id).response_after(millis(10));
         let mut is_at_restored = false;
@@ -270,7 +271,7 @@
     }
 }
 
-/// Restores that all is fast and serves a high load.
+/// Restores records of fast endpoints that have served a high load.
 fn restore_high_capacity(policy: &mut Balancer) {
     policy.restore_hardware_class(HardwareClassRecord {
         name: "k",
@@ -285,7 +286,7 @@
     });
 }
 
-/// Attempts at a warming endpoint in 1.5 seconds.
+/// Number of attempts at a warming endpoint in 1.5 seconds.
 fn attempts_at_warming_endpoint(restores_snapshot: bool) -> usize {
     let mut instance = Instance::new(settings());
     let started_at = instance.now() - millis(100);
@@ -325,7 +326,7 @@
 
 #[test]
 fn rejection_holds_the_build_for_a_minute_even_across_a_restart() {
-    // Seconds since the rejection, and whether the build is held at the beginning of its stage.
+    // Seconds since the rejection, and whether the build is held at the start of its stage.
     for (seconds, is_held) in [(0, true), (58, true), (60, false), (4000, false)] {
         let now = Timestamp::ZERO + Duration::from_secs(100_000);
         let mut instance = Instance::starting_at(now, single_stage_settings(0.5));
@@ -345,7 +346,7 @@
             is_held,
             "{first_second:?}"
         );
-        // The hold is released like any other, and nothing rolls the build back.
+        // The hold is released as usual, and a restored rejection alone causes no rollback vote.
         assert!(
             later.votes().all(|vote| vote != Vote::RollBack),
             "{later:?}"
--- a/crates/policy/tests/policy/warm_up.rs
+++ b/crates/policy/tests/policy/warm_up.rs
@@ -1,4 +1,4 @@
-//! Slow start of an endpoint, by all instances together.
+//! Slow start of an endpoint that receives requests from all instances of a deployment.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     RequestBuilder, list_endpoints, millis, settings,
 };
 
-/// Instances that each get requests at the same interval.
+/// Instances that each receive requests at the same interval.
 #[derive(Clone, Copy, Debug)]
 struct Deployment {
     instances: u32,
@@ -17,7 +17,7 @@
 }
 
 impl Deployment {
-    /// An instance that has served for ten seconds with five warm endpoints.
+    /// An instance that has served requests for ten seconds with five warm endpoints.
     fn warm_instance(&self, instance_index: u32) -> Instance {
         let mut instance = Instance::new(Settings {
             instance_count: self.instances,
@@ -27,7 +27,7 @@
         let started_at = instance.now();
         let names = ["m0", "m1", "m2", "m3", "m4"];
         instance.step_now(|policy| list_endpoints(policy, &names, BASELINE));
-        // The steps of the instances are spread over the second.
+        // Staggers the steps of the instances by 10 ms each, over at most one second.
         instance.wait(millis(10) * instance_index);
         for id in 0.. {
             let response = AttemptResultBuilder::succeeded(millis(10));
@@ -41,8 +41,8 @@
         instance
     }
 
-    /// Attempts of one instance at an endpoint in the 1.5 seconds after its start, if it is the
-    /// only one.
+    /// Number of attempts of one instance at an endpoint in the 1.5 seconds after the endpoint's
+    /// start, if it is the only endpoint.
     fn attempts_at_new_endpoint(&self, instance: &mut Instance) -> usize {
         let started_at = instance.now();
         instance.step_now(|policy| {
@@ -72,7 +72,8 @@
 
 #[test]
 fn warming_endpoint_is_not_overloaded_by_many_instances_with_little_traffic() {
-    // One request from each instance would already be many times what the endpoint can serve.
+    // With 100 instances, one request from each would already be many times what the endpoint can
+    // serve.
     let deployments = [
         Deployment {
             instances: 1,
@@ -94,8 +95,9 @@
         });
         let attempts: usize = attempts.sum();
 
-        // Warm endpoints serve twenty requests a second each. A new one can serve 0.43 of that over
-        // the overload window, and fails at twice as much.
+        // Each warm endpoint serves twenty requests a second. A new one has 0.43 of that capacity
+        // on average over the overload window of 1.5 s, and fails at twice as much, which is about
+        // 26 requests.
         assert!((3..=26).contains(&attempts), "{deployment:?}: {attempts}");
     }
 }
