--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Accumulators and the formulas of the sequential test, without any tuned value: all parameters
-//! are passed in.
+//! Accumulators, and the formulas of the sequential test. All tunable parameters are passed in by
+//! the callers.
 
 mod arm;
 mod decaying_mean;
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -1,6 +1,6 @@
-//! The two sides of a comparison between builds.
+//! The two arms of a comparison between builds.
 
-/// Keeps a division by a count that may be zero finite.
+/// Lower limit of a divisor that may be zero, so that the quotient stays finite.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// Outcomes and failures of one endpoint in one test.
@@ -12,14 +12,14 @@
     pub failures: f64,
 }
 
-/// How unevenly outcomes and failures are spread over endpoints, as sums over these.
+/// How unevenly outcomes and failures are spread over endpoints, as sums over the endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Dispersion {
-    /// Squares of the failures.
+    /// Sum of the squared failures.
     pub failures_squared: f64,
-    /// Failures times outcomes.
+    /// Sum of the products of failures and outcomes.
     pub failures_times_outcomes: f64,
-    /// Squares of the outcomes.
+    /// Sum of the squared outcomes.
     pub outcomes_squared: f64,
 }
 
@@ -44,19 +44,19 @@
     }
 }
 
-/// One side of a test, summed over its endpoints.
+/// One arm of a test: outcomes and failures, summed over its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arm {
     /// All outcomes.
     pub outcomes: f64,
     /// Failures among them.
     pub failures: f64,
-    /// How they are spread over the endpoints.
+    /// How outcomes and failures are spread over the endpoints.
     pub dispersion: Dispersion,
 }
 
 impl Arm {
-    /// The share of failures; 0 without outcomes.
+    /// The share of failures among the outcomes, or 0 if there are no outcomes.
     pub fn failure_share(&self) -> f64 {
         if self.outcomes > 0.0 {
             self.failures / self.outcomes
@@ -65,12 +65,13 @@
         }
     }
 
-    /// 1 where one endpoint gave all outcomes, and less the more evenly they are spread.
+    /// How much the outcomes are concentrated on few endpoints: 1 if all come from one endpoint,
+    /// and less the more evenly they are spread.
     pub fn concentration(&self) -> f64 {
         self.dispersion.outcomes_squared / self.outcomes.powi(2)
     }
 
-    /// Adds one endpoint.
+    /// Adds the outcomes and failures of one endpoint.
     pub fn add(&mut self, outcomes: f64, failures: f64) {
         self.outcomes += outcomes;
         self.failures += failures;
@@ -79,8 +80,8 @@
         self.dispersion.outcomes_squared += outcomes * outcomes;
     }
 
-    /// Adds another arm's outcomes, but at most `max_outcomes` of them: if there are more, the same
-    /// fraction of each endpoint's.
+    /// Adds another arm, scaled down to `max_outcomes` outcomes if it has more. All of its
+    /// endpoints are scaled by the same factor.
     pub fn add_limited(&mut self, other: Arm, max_outcomes: f64) {
         let fraction = (max_outcomes / other.outcomes.max(MIN_DIVISOR)).min(1.0);
         let squared = fraction * fraction;
@@ -92,7 +93,8 @@
         self.dispersion.outcomes_squared += squared * other.dispersion.outcomes_squared;
     }
 
-    /// The endpoints with the smallest shares of failures, up to this fraction of all outcomes.
+    /// Sums the endpoints with the smallest shares of failures, until they have at least the given
+    /// fraction of all outcomes.
     pub fn from_best_endpoints(mut endpoints: Vec<EndpointOutcomes>, fraction: f64) -> Arm {
         let share =
             |endpoint: &EndpointOutcomes| endpoint.failures / endpoint.outcomes.max(MIN_DIVISOR);
@@ -109,11 +111,11 @@
     }
 }
 
-/// Both sides of a test.
+/// Both arms of a test.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arms {
-    /// The build under evaluation.
+    /// The arm of the build under evaluation.
     pub candidate: Arm,
-    /// What it is compared with.
+    /// The arm with which the candidate is compared.
     pub baseline: Arm,
 }
--- a/crates/policy/src/statistics/decaying_mean.rs
+++ b/crates/policy/src/statistics/decaying_mean.rs
@@ -1,19 +1,19 @@
-//! A mean in which old values count less and less.
+//! An exponentially weighted mean.
 
 use super::{DecayingSums, TimeConstant};
 use crate::types::Timestamp;
 
-/// A sum of values and the weight, usually the number, of these values.
+/// A sum of values and their total weight, which is usually their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WeightedSum {
-    /// The values, added up.
+    /// Sum of the values.
     pub sum: f64,
-    /// How many they are, or another measure of how much they count.
+    /// Number of the values, or another total of their weights.
     pub weight: f64,
 }
 
 impl WeightedSum {
-    /// The mean with `prior_weight` values of `prior_mean` to start with.
+    /// Returns the mean, with a prior that weighs as much as `prior_weight` values of `prior_mean`.
     pub fn mean_with_prior(self, prior_mean: f64, prior_weight: f64) -> f64 {
         (self.sum + prior_weight * prior_mean) / (self.weight + prior_weight)
     }
@@ -31,14 +31,14 @@
     }
 }
 
-/// A [`WeightedSum`] that decays.
+/// A [`WeightedSum`] that decays exponentially, so that recent values dominate its mean.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingMean {
     sums: DecayingSums<2>,
 }
 
 impl DecayingMean {
-    /// Without any value yet.
+    /// Creates a mean without any values.
     pub const fn new(time_constant: TimeConstant) -> DecayingMean {
         DecayingMean {
             sums: DecayingSums::new(time_constant),
@@ -50,27 +50,27 @@
         self.sums.add([value, 1.0], now);
     }
 
-    /// Adds values and their weight.
+    /// Adds a sum of values with their total weight.
     pub fn add_weighted(&mut self, values: WeightedSum, now: Timestamp) {
         self.sums.add(values.into(), now);
     }
 
-    /// The sums as of now.
+    /// Decays the sums to the present time and returns them.
     pub fn read(&mut self, now: Timestamp) -> WeightedSum {
         self.sums.read(now).into()
     }
 
-    /// The sums as of the last time that they were read or added to.
+    /// Returns the sums as of the last call that read or changed them.
     pub fn last_read(&self) -> WeightedSum {
         self.sums.last_read().into()
     }
 
-    /// Replaces the sums by restored ones.
+    /// Replaces the sums with restored ones.
     pub fn set(&mut self, values: WeightedSum, now: Timestamp) {
         self.sums.set(values.into(), now);
     }
 
-    /// Forgets all values.
+    /// Removes all values.
     pub fn clear(&mut self) {
         self.sums.clear();
     }
--- a/crates/policy/src/statistics/decaying_rate.rs
+++ b/crates/policy/src/statistics/decaying_rate.rs
@@ -1,11 +1,11 @@
-//! The rate of events, in which old events count less and less.
+//! An exponentially weighted rate of events.
 
 use std::time::Duration;
 
 use super::{DecayingSums, TimeConstant};
 use crate::types::Timestamp;
 
-/// Counts events and gives their rate.
+/// Counts events and computes their rate, in which old events lose weight exponentially.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingRate {
     count: DecayingSums<1>,
@@ -13,8 +13,8 @@
 }
 
 impl DecayingRate {
-    /// Without any event yet. The rate counts as measured for at least `min_lifetime`, so that
-    /// the first events do not look like a surge.
+    /// Creates a rate without any events. It is computed over at least `min_lifetime`, so that the
+    /// first events do not look like a surge.
     pub const fn new(time_constant: TimeConstant, min_lifetime: Duration) -> DecayingRate {
         DecayingRate {
             count: DecayingSums::new(time_constant),
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Counts one event.
+    /// Records one event.
     pub fn record(&mut self, now: Timestamp) {
         self.count.add([1.0], now);
     }
 
-    /// Events a second, if events have been counted for `lifetime`.
+    /// Returns the events per second, given that events have been recorded for `lifetime`.
     pub fn per_second(&mut self, lifetime: Duration, now: Timestamp) -> f64 {
         let [count] = self.count.read(now);
         let lifetime = lifetime.max(self.min_lifetime);
--- a/crates/policy/src/statistics/decaying_sums.rs
+++ b/crates/policy/src/statistics/decaying_sums.rs
@@ -1,11 +1,11 @@
-//! Sums that decay exponentially.
+//! Exponentially decaying sums.
 
 use super::TimeConstant;
 use crate::types::Timestamp;
 
-/// `N` sums that decay together with one time constant.
+/// `N` sums that decay with the same time constant.
 ///
-/// They are brought up to date when they are read or added to, so that an unused sum costs nothing.
+/// The decay is applied lazily, when the sums are read or added to, so that idle sums cost nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSums<const N: usize> {
     updated_at: Timestamp,
@@ -14,7 +14,7 @@
 }
 
 impl<const N: usize> DecayingSums<N> {
-    /// Empty sums.
+    /// Creates sums of zero.
     pub const fn new(time_constant: TimeConstant) -> Self {
         DecayingSums {
             updated_at: Timestamp::ZERO,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Replaces the sums by restored ones.
+    /// Replaces the sums with restored ones.
     pub fn set(&mut self, sums: [f64; N], now: Timestamp) {
         self.sums = sums;
         self.updated_at = now;
     }
 
-    /// The sums as of now.
+    /// Decays the sums to the present time and returns them.
     pub fn read(&mut self, now: Timestamp) -> [f64; N] {
         let remaining = self.time_constant.remaining_between(self.updated_at, now);
         self.sums = self.sums.map(|sum| sum * remaining);
@@ -37,7 +37,7 @@
         self.sums
     }
 
-    /// The sums as of the last time that they were read or added to.
+    /// Returns the sums as of the last call that read or changed them.
     pub fn last_read(&self) -> [f64; N] {
         self.sums
     }
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Empties the sums.
+    /// Resets the sums to zero.
     pub fn clear(&mut self) {
         *self = DecayingSums::new(self.time_constant);
     }
 
-    /// The time constant of all sums.
+    /// The time constant with which the sums decay.
     pub fn time_constant(&self) -> TimeConstant {
         self.time_constant
     }
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -1,34 +1,34 @@
-//! Outcomes and failures of one endpoint under one build.
+//! Counts of outcomes and failures of one build at one endpoint.
 
 use super::{EndpointOutcomes, PerTest, TimeConstant};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
-/// Counts that are below this on all sides no longer matter.
+/// Counts are negligible if the outcomes and failures of every test are below this value.
 const NEGLIGIBLE_COUNT: f64 = 0.5;
 
-/// Whose outcomes are counted together. Ordered by build, so that the counts of one build are
-/// adjacent.
+/// Outcomes are counted for each of these keys. Keys are ordered by build first, so that the counts
+/// of one build are adjacent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OutcomeKey {
-    /// The build.
+    /// The build that the endpoint ran.
     pub build: BuildNumber,
-    /// The endpoint that ran it.
+    /// The endpoint to which the attempts were sent.
     pub endpoint: EndpointIndex,
 }
 
-/// Decaying counts of outcomes and of the failures among them, each test with a time constant of
-/// its own.
+/// Counts of outcomes and of the failures among them for each test. They decay with a time constant
+/// per test.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
     updated_at: Timestamp,
-    /// All outcomes.
+    /// All outcomes that are evidence in the test.
     pub outcomes: PerTest<f64>,
-    /// Outcomes that count as failures.
+    /// The outcomes that are failures in the test.
     pub failures: PerTest<f64>,
 }
 
 impl OutcomeCounts {
-    /// Counts that are as given at this time.
+    /// Creates counts with the given values as of `now`.
     pub fn new(outcomes: PerTest<f64>, failures: PerTest<f64>, now: Timestamp) -> Self {
         OutcomeCounts {
             updated_at: now,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Brings the counts up to date.
+    /// Decays the counts to the present time.
     pub fn decay(&mut self, now: Timestamp, time_constants: &PerTest<TimeConstant>) {
         let updated_at = std::mem::replace(&mut self.updated_at, now);
         if now <= updated_at {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Adds one outcome to each test for which it is evidence: whether it is a failure there.
+    /// Adds one outcome. `is_failure` says for each test whether the outcome is a failure, or holds
+    /// `None` if it is not evidence in that test.
     pub fn add(
         &mut self,
         is_failure: PerTest<Option<bool>>,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Adds counts of the same time.
+    /// Adds counts that have been decayed to the same time.
     pub fn add_counts(&mut self, other: &OutcomeCounts) {
         for test in EvidenceTest::ALL {
             self.outcomes[test] += other.outcomes[test];
@@ -72,14 +73,15 @@
         }
     }
 
-    /// Outcomes of one test and the failures among them; a complaint may come without its outcome.
+    /// Returns the outcomes of one test and the failures among them. There are never more failures
+    /// than outcomes, even if a flagged answer was recorded here without its outcome.
     pub fn for_test(&self, test: EvidenceTest) -> EndpointOutcomes {
         let outcomes = self.outcomes[test];
         let failures = self.failures[test].min(outcomes);
         EndpointOutcomes { outcomes, failures }
     }
 
-    /// Less than half an outcome and half a failure is left in every test.
+    /// Returns whether less than half an outcome and half a failure is left in every test.
     pub fn is_negligible(&self) -> bool {
         let outcomes = self.outcomes.as_slice().iter();
         let mut counts = outcomes.chain(self.failures.as_slice());
--- a/crates/policy/src/statistics/per_test.rs
+++ b/crates/policy/src/statistics/per_test.rs
@@ -1,10 +1,9 @@
-//! A value for each test of a build.
+//! A container with one value for each test of a build.
 
 use std::ops::{Index, IndexMut};
 
 use crate::types::EvidenceTest;
 
-/// Number of tests.
 const TEST_COUNT: usize = EvidenceTest::ALL.len();
 
 /// One value for each [`EvidenceTest`].
@@ -14,12 +13,12 @@
 }
 
 impl<T> PerTest<T> {
-    /// Takes the values in the order of [`EvidenceTest::ALL`].
+    /// Creates the container from values in the order of [`EvidenceTest::ALL`].
     pub const fn new(values: [T; TEST_COUNT]) -> Self {
         PerTest { values }
     }
 
-    /// All values in the order of [`EvidenceTest::ALL`].
+    /// Returns the values in the order of [`EvidenceTest::ALL`].
     pub fn as_slice(&self) -> &[T] {
         &self.values
     }
--- a/crates/policy/src/statistics/sequential_test.rs
+++ b/crates/policy/src/statistics/sequential_test.rs
@@ -1,30 +1,30 @@
-//! One test of a candidate against a baseline: the score for a small and for a large effect.
+//! A test of a candidate against a baseline, which combines scores for a small and a large effect.
 
 use super::{ArmVariances, Arms, Rarity, VarianceModel, sprt_score};
 
-/// Parameters that differ from test to test.
+/// Parameters that differ between the tests.
 #[derive(Clone, Copy, Debug)]
 pub struct TestParameters {
-    /// The difference of the failure shares that the test looks for.
+    /// The smallest difference of the failure shares that the test is meant to detect.
     pub minimum_effect: f64,
-    /// How rare its failures are.
+    /// How rare failures are in this test.
     pub rarity: Rarity,
-    /// By how much the score must exceed the bound.
+    /// The margin by which the score must exceed the upper bound.
     pub evidence_margin: f64,
-    /// Outcomes of the candidate without which there is no score.
+    /// The number of outcomes of the candidate below which no score is computed.
     pub min_candidate_outcomes: f64,
-    /// Outcomes of the baseline without which there is no score.
+    /// The number of outcomes of the baseline below which no score is computed.
     pub min_baseline_outcomes: f64,
 }
 
 /// Parameters that all tests share.
 #[derive(Clone, Copy, Debug)]
 pub struct ScoreParameters {
-    /// No variance is below that of this share of failures.
+    /// Variances are not estimated below the variance of this share of failures.
     pub floor_share: f64,
-    /// A large effect is the minimum effect times this factor, …
+    /// In a test with rare failures, the large effect is the minimum effect times this factor.
     pub large_effect_factor: f64,
-    /// … and at least this number of standard errors.
+    /// The large effect is at least this number of standard errors.
     pub large_effect_standard_errors: f64,
 }
 
@@ -33,14 +33,14 @@
 pub struct Scores {
     /// The score for the minimum effect.
     pub minimum_effect: f64,
-    /// The scores for the minimum effect and for a large one, added as likelihood ratios: a test
-    /// for a small effect alone is slow to detect large ones.
+    /// The logarithm of the sum of the likelihood ratios for the minimum effect and for a large
+    /// effect, because a test for a small effect alone is slow to detect large ones.
     pub mixture: f64,
 }
 
 impl TestParameters {
-    /// The scores, if there are enough outcomes. `previous` holds the variances of the previous
-    /// evaluation and is replaced by those of this one.
+    /// Returns the scores if both arms have enough outcomes. `previous` holds the variances of the
+    /// previous evaluation, and is replaced with those of this one.
     pub fn scores(
         &self,
         common: &ScoreParameters,
--- a/crates/policy/src/statistics/sliding_window.rs
+++ b/crates/policy/src/statistics/sliding_window.rs
@@ -1,33 +1,34 @@
-//! Exact counts over a sliding window.
+//! Exact counts of events over a sliding window.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::types::{BuildNumber, RouteIndex, Timestamp};
 
-/// By what events are distinguished.
+/// The key by which events are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowKey {
-    /// The build, where the events have one.
+    /// The build, for events that belong to one.
     pub build: BuildNumber,
-    /// The route.
+    /// The route of the request.
     pub route: RouteIndex,
 }
 
-/// Times of events by build and route, kept in order so that counting is a binary search.
+/// Times of events by build and route. They are kept in order, so that counting takes a binary
+/// search.
 ///
-/// Its owner bounds it by [`SlidingWindow::remove_before`].
+/// The owner must call [`SlidingWindow::remove_before`] regularly to bound its size.
 #[derive(Debug, Default)]
 pub struct SlidingWindow {
     times: BTreeMap<WindowKey, VecDeque<Timestamp>>,
 }
 
 impl SlidingWindow {
-    /// Adds an event; events come in the order of their times.
+    /// Adds an event. Events must be added in the order of their times.
     pub fn push(&mut self, key: WindowKey, at: Timestamp) {
         self.times.entry(key).or_default().push_back(at);
     }
 
-    /// Removes one event of exactly this time, if there is one.
+    /// Removes one event with exactly this time, if there is one.
     pub fn remove(&mut self, key: WindowKey, at: Timestamp) {
         let Some(times) = self.times.get_mut(&key) else {
             return;
@@ -38,7 +39,8 @@
         }
     }
 
-    /// How many events of a build there were at `from` or later, on one route or on all.
+    /// Returns the number of events of a build at or after `from`, on one route or on all routes if
+    /// `None`.
     pub fn count_since(
         &self,
         build: BuildNumber,
@@ -53,7 +55,7 @@
             .sum()
     }
 
-    /// Forgets all events before `from`.
+    /// Removes all events before `from`.
     pub fn remove_before(&mut self, from: Timestamp) {
         self.times.retain(|_, times| {
             times.drain(..times.partition_point(|time| *time < from));
@@ -61,7 +63,7 @@
         });
     }
 
-    /// Forgets all events.
+    /// Removes all events.
     pub fn clear(&mut self) {
         self.times.clear();
     }
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -4,12 +4,12 @@
 
 use super::{Arm, Arms};
 
-/// How rare a test's failures are, which decides how the variance is estimated from few of them.
+/// How rare a test's failures are. This determines how the variance is estimated from few failures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rarity {
-    /// Failures are common: the variance follows from the observed share.
+    /// Failures are common, and the variance is estimated from the observed share.
     Common,
-    /// Failures are rare; a larger factor stands for rarer failures and gives a lower floor of the
+    /// Failures are rare. A larger factor means rarer failures, and lowers the floor of the
     /// variance.
     Rare(f64),
 }
@@ -23,17 +23,17 @@
     }
 }
 
-/// The variances of one outcome on both sides.
+/// The variances of a single outcome in both arms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ArmVariances {
-    /// Of the build under evaluation.
+    /// Variance of an outcome of the build under evaluation.
     pub candidate: f64,
-    /// Of what it is compared with.
+    /// Variance of an outcome of the baseline.
     pub baseline: f64,
 }
 
 impl ArmVariances {
-    /// Standard error of the difference of the shares.
+    /// The standard error of the difference between the failure shares of the two arms.
     pub fn standard_error(self, arms: Arms) -> f64 {
         let candidate = self.candidate / arms.candidate.outcomes;
         let baseline = self.baseline / arms.baseline.outcomes;
@@ -41,18 +41,18 @@
     }
 }
 
-/// How variances are estimated from shares.
+/// Parameters with which variances are estimated from failure shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VarianceModel {
-    /// No variance is below that of this share.
+    /// Variances are not estimated below the variance of this share of failures.
     pub floor_share: f64,
     /// How rare failures are.
     pub rarity: Rarity,
 }
 
 impl VarianceModel {
-    /// Variance of a Bernoulli outcome, with a floor: an arm without failures may have had none
-    /// only by sampling error.
+    /// The variance of a Bernoulli outcome. It has a floor, because an arm may have no failures
+    /// merely by sampling error.
     fn bernoulli_variance(&self, arm: &Arm) -> f64 {
         let one_failure = 1.0 / (arm.outcomes + 3.0) / self.rarity.factor().max(1.0);
         let floor = self.floor_share.max(one_failure);
@@ -60,8 +60,8 @@
         share * (1.0 - share)
     }
 
-    /// The design effect: how much more the arm's endpoints differ than sampling error explains, at
-    /// least 1. An overload hits many outcomes of one endpoint together.
+    /// The design effect: the factor, at least 1, by which the arm's endpoints differ more than
+    /// sampling error explains. An overload, for example, affects many outcomes of one endpoint.
     fn design_effect(&self, arm: &Arm) -> f64 {
         let share = arm.failure_share();
         let dispersion = arm.dispersion;
@@ -71,9 +71,12 @@
         (residual_squares / arm.outcomes.max(1.0) / self.bernoulli_variance(arm)).max(1.0)
     }
 
-    /// The variances of both sides. The candidate's design effect is at least the baseline's, since
-    /// few endpoints do not show their own; where few rare failures have been seen, the baseline's
-    /// share of failures stands in for the candidate's.
+    /// Estimates the variances of both arms.
+    ///
+    /// The candidate's design effect is taken to be at least the baseline's, because it cannot be
+    /// estimated from few endpoints. If failures are rare, the variance of a candidate with few
+    /// outcomes is mostly that of the baseline's failure share; the weight of the candidate's own
+    /// share grows with its outcomes.
     pub fn variances(&self, arms: Arms) -> ArmVariances {
         let Arms {
             candidate,
@@ -105,10 +108,10 @@
     }
 }
 
-/// The score of the one-sided test: z times drift less half the drift squared.
+/// The score of the one-sided test: the z score times the drift, minus half the squared drift.
 ///
-/// The drift is computed with the variances of the previous evaluation, since it is the z score
-/// that was expected before the latest outcomes.
+/// The drift is the z score that the minimum effect was expected to give before the latest outcomes
+/// were known. It is therefore computed with the variances of the previous evaluation.
 pub fn sprt_score(
     arms: Arms,
     variances: ArmVariances,
@@ -121,19 +124,19 @@
     z_score * drift - drift * drift / 2.0
 }
 
-/// Wald's bounds on the score.
+/// Wald's bounds on the score of a sequential test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaldBounds {
-    /// The rate of false alarms for which they are chosen.
+    /// The false-positive rate for which the bounds are computed.
     pub alpha: f64,
-    /// At or below, the build is as good as the baseline.
+    /// At or below this score, the candidate is accepted as no worse than the baseline.
     pub lower: f64,
-    /// At or above, it is worse.
+    /// At or above this score, the candidate is rejected as worse than the baseline.
     pub upper: f64,
 }
 
 impl WaldBounds {
-    /// For a rate `alpha` of false alarms and a rate `beta` of misses.
+    /// Computes the bounds for a false-positive rate `alpha` and a false-negative rate `beta`.
     pub fn new(alpha: f64, beta: f64) -> WaldBounds {
         WaldBounds {
             alpha,
@@ -142,12 +145,13 @@
         }
     }
 
-    /// By how much a score must exceed the bound where many instances vote.
+    /// Returns the margin by which a score must exceed the upper bound if many instances vote.
     ///
-    /// α bounds the rate of false rollbacks, and a rollback needs `votes` simultaneous votes. The
-    /// margin gives each instance such a share of α that this many false votes together stay as
-    /// rare as α asks for. For several votes, the rate at which one instance may err is
-    /// approximated by the square of the root of their number less `sqrt_votes_offset`.
+    /// `alpha` limits the rate of false rollbacks, and a rollback needs `votes` simultaneous votes.
+    /// The margin lowers the false-positive rate of each instance so that this many simultaneous
+    /// false votes are no more frequent than `alpha`. If several votes are needed, the tolerable
+    /// rate of false votes of all instances together is approximated by the square of the
+    /// difference between the square root of `votes` and `sqrt_votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, sqrt_votes_offset: f64) -> f64 {
         let rate = if votes > 1.0 {
             (votes.sqrt() - sqrt_votes_offset).powi(2)
