--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -1,5 +1,5 @@
-//! The rollout of a new build: what is evidence about it, its evaluation by the sequential test,
-//! how much traffic it may get (rule 5), and the votes on it.
+//! The rollout of a new build: collecting evidence about it, evaluating it by sequential tests,
+//! limiting the traffic that it gets (rule 5), and voting on it.
 
 mod attempt_conditions;
 mod evaluator;
--- a/crates/policy/src/rollout/attempt_conditions.rs
+++ b/crates/policy/src/rollout/attempt_conditions.rs
@@ -1,4 +1,4 @@
-//! The conditions under which an attempt is sent, which decide with what its outcome is compared.
+//! The conditions under which an attempt is sent. They determine which tests may use its outcome.
 
 use std::time::Duration;
 
@@ -7,19 +7,18 @@
 use crate::requests::AttemptConditions;
 use crate::step_context::StepContext;
 
-/// An endpoint is judged from this time after its start on.
+/// Attempts that are sent to an endpoint within this time after its start are not used as evidence.
 pub(super) const START_UP_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
 /// The endpoint to which an attempt is sent.
 #[derive(Debug)]
 pub(crate) struct AttemptTarget<'a> {
-    /// The endpoint.
     pub(crate) endpoint: &'a Endpoint,
-    /// Requests in flight there.
+    /// Number of requests in flight at the endpoint.
     pub(crate) load: f64,
 }
 
-/// The conditions of an attempt that is sent now.
+/// Returns the conditions of an attempt that is sent now.
 pub(crate) fn attempt_conditions(
     target: &AttemptTarget<'_>,
     fleet: &FleetState<'_>,
@@ -45,7 +44,8 @@
     }
 }
 
-/// Whether the process of an endpoint has run for at least this time.
+/// Returns whether the process of an endpoint has run for at least `time`. An unknown start time
+/// counts as long ago.
 fn has_run_for(endpoint: &Endpoint, time: Duration, context: &StepContext) -> bool {
     endpoint
         .process
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -1,5 +1,5 @@
-//! Evaluation of the newest build: from evidence to a verdict, by the one-sided sequential test
-//! (SPRT-z).
+//! Evaluation of the newest build by one-sided sequential tests (SPRT-z), which may end in the
+//! verdict that it must be rolled back.
 
 use std::time::Duration;
 
@@ -22,47 +22,43 @@
     BuildNumber, EndpointIndex, EvidenceTest, RollbackVerdict, StageIndex, Timestamp,
 };
 
-/// An answer about which a client has complained.
+/// An answer that a client has flagged as faulty after receiving it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FlaggedAnswer {
-    /// The endpoint that gave it.
+    /// The endpoint that sent the answer.
     pub(crate) endpoint: EndpointIndex,
-    /// The process that runs there.
+    /// The process that runs at the endpoint now.
     pub(crate) process: Process,
-    /// When it was given.
     pub(crate) answered_at: Timestamp,
 }
 
-/// A build that was rejected.
+/// A build that the evaluation has rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rejection {
-    /// The build.
     pub(crate) build: BuildNumber,
-    /// When it was rejected.
     pub(crate) rejected_at: Timestamp,
 }
 
-/// A build that was rejected before a restart.
+/// A build that was rejected before this instance restarted, as restored from the snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RestoredRejection {
     build: BuildNumber,
-    /// Until when the build is held for it.
+    /// The build is held until this time because of the earlier rejection.
     until: Timestamp,
 }
 
-/// A stage at which the hold of a build has been released.
+/// A build and the stage at which its hold has been released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReleasedHold {
     build: BuildNumber,
     stage: StageIndex,
 }
 
-/// What the evaluation says about the newest build.
+/// The result of the last evaluation of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assessment {
-    /// It has been rejected.
     pub(crate) is_rejected: bool,
-    /// Nothing speaks against it, or its hold has been released.
+    /// No test had a positive score, or the hold has been released.
     pub(crate) may_advance: bool,
 }
 
@@ -72,23 +68,25 @@
     outcomes: OutcomeTable,
     crashes: CrashTracker,
     fleet_baseline: FleetBaseline,
-    /// Variances of the previous evaluation.
+    /// Variances that the previous evaluation estimated in each test.
     previous_variances: PerTest<Option<ArmVariances>>,
     rejection: Option<Rejection>,
     restored_rejection: Option<RestoredRejection>,
     released_hold: Option<ReleasedHold>,
-    /// The score of a test was above zero in the last evaluation.
+    /// At least one test had a positive score in the last evaluation, or the build was rejected
+    /// before a restart.
     score_is_positive: bool,
 }
 
 /// Recording of evidence.
 impl Evaluator {
-    /// A new endpoint has taken this index.
+    /// Initializes the state of an endpoint that has been assigned this index.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.crashes.add_endpoint(index);
     }
 
-    /// Records an attempt that has ended or timed out, in the tests for which it is evidence.
+    /// Records the outcome of an attempt that has ended or timed out in each test for which it is
+    /// evidence.
     pub(crate) fn record_attempt(&mut self, evidence: &AttemptEvidence<'_>, context: &StepContext) {
         let is_failure =
             classify_attempt(evidence, &mut self.crashes, &self.fleet_baseline, context);
@@ -102,7 +100,8 @@
         }
     }
 
-    /// Records a client's complaint about an answer: a failure whose outcome has been counted.
+    /// Records an answer that a client has flagged. It adds a failure but no outcome, because the
+    /// outcome was counted when the attempt ended.
     pub(crate) fn record_flagged_answer(&mut self, answer: FlaggedAnswer, now: Timestamp) {
         let started_at = answer.process.started_at.unwrap_or_default();
         if answer.answered_at < started_at + START_UP_GRACE_PERIOD {
@@ -117,7 +116,8 @@
         }
     }
 
-    /// A newer build is offered: it will be compared with the present state of the fleet.
+    /// Starts the rollout of a newer build: records the present state of the fleet as the baseline
+    /// for that build.
     pub(crate) fn begin_rollout(
         &mut self,
         endpoints_in_service: usize,
@@ -135,27 +135,29 @@
         self.fleet_baseline = baseline;
     }
 
-    /// A build is being rolled back: what it has done to the fleet is no baseline for the next.
+    /// Discards the fleet's latencies when a build is rolled back: they are distorted by that build
+    /// and must not become the baseline of the next one.
     pub(crate) fn discard_fleet_outcomes(&mut self, now: Timestamp) {
         self.outcomes.take_fleet_arm(now);
     }
 
-    /// Drops evidence of which next to nothing is left.
+    /// Removes outcome counts that have decayed to a negligible amount.
     pub(crate) fn forget_expired(&mut self, now: Timestamp) {
         self.outcomes.forget_expired(now);
     }
 
-    /// Whether there is evidence of this endpoint.
+    /// Returns whether there are outcome counts of this endpoint.
     pub(crate) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
         self.outcomes.refers_to(endpoint)
     }
 
-    /// Number of pairs of build and endpoint with outcomes of this instance.
+    /// Number of pairs of build and endpoint for which this instance has counted outcomes since it
+    /// started.
     pub(crate) fn outcome_key_count(&self) -> usize {
         self.outcomes.len()
     }
 
-    /// The fleet before the rollout.
+    /// The state of the fleet before the rollout.
     pub(crate) fn fleet_baseline(&self) -> &FleetBaseline {
         &self.fleet_baseline
     }
@@ -163,8 +165,8 @@
 
 /// Evaluation.
 impl Evaluator {
-    /// Puts the newest build to all tests. Returns the verdict if the build is rejected now; each
-    /// build is rejected once.
+    /// Runs all tests on the newest build. Returns a verdict if this evaluation rejects the build;
+    /// a build is rejected only once.
     pub(crate) fn evaluate(
         &mut self,
         rollout: Rollout,
@@ -177,8 +179,8 @@
         let bounds = WaldBounds::new(ALPHA, BETA);
         let instance_margin = instance_margin(bounds, &context.settings);
         let mut releases_hold = now >= rollout.since + MAX_HOLD_TIME;
-        // A build that is offered again after it was rejected before a restart is held for as long
-        // as a hold may last.
+        // A build that was rejected before a restart counts as having a positive score, so that it
+        // is held for as long as a hold may last if it is rolled out again.
         self.score_is_positive = self.was_rejected_before_restart(rollout.build, now);
         let mut verdict = None;
         for test in EvidenceTest::ALL {
@@ -217,7 +219,7 @@
         TEST_PARAMETERS[test].scores(&SCORE_PARAMETERS, evidence.tested(test), previous)
     }
 
-    /// Notes that a build is rejected. Returns whether it was not before.
+    /// Marks a build as rejected. Returns false if it was the rejected build already.
     fn reject(&mut self, build: BuildNumber, now: Timestamp) -> bool {
         if self.rejected_build() == Some(build) {
             return false;
@@ -229,7 +231,7 @@
         true
     }
 
-    /// The build that was rejected last.
+    /// The build that this instance has rejected last since it started.
     pub(crate) fn rejected_build(&self) -> Option<BuildNumber> {
         self.rejection.map(|rejection| rejection.build)
     }
@@ -239,7 +241,7 @@
             .is_some_and(|restored| restored.build == build && now < restored.until)
     }
 
-    /// What the last evaluation says about a build at its stage.
+    /// Returns the result of the last evaluation for a build at its present stage.
     pub(crate) fn assessment(&self, rollout: Rollout) -> Assessment {
         let Rollout { build, stage, .. } = rollout;
         let hold_is_released = self.released_hold == Some(ReleasedHold { build, stage });
@@ -250,66 +252,69 @@
     }
 }
 
-/// Reading and restoring for snapshots.
+/// Reading state for a snapshot, and restoring it.
 impl Evaluator {
-    /// Up to `limit` pairs of build and endpoint with outcomes, from this one on. There may be up
-    /// to twice as many, since own and restored outcomes are looked up separately.
+    /// Returns keys with outcomes, in order from `from` on. The limit applies separately to own and
+    /// to restored outcomes, so that up to twice as many keys may be returned.
     pub(crate) fn outcome_keys_from(&self, from: OutcomeKey, limit: usize) -> Vec<OutcomeKey> {
         self.outcomes.keys_from(from, limit)
     }
 
-    /// Outcomes of one build and endpoint, including restored ones.
+    /// Returns the outcomes of one build and endpoint, including restored ones.
     pub(crate) fn total_outcomes(&mut self, key: OutcomeKey, now: Timestamp) -> OutcomeCounts {
         self.outcomes.total(key, now)
     }
 
-    /// Restores outcomes from before a restart.
+    /// Restores outcomes that were counted before a restart.
     pub(crate) fn restore_outcomes(&mut self, key: OutcomeKey, counts: OutcomeCounts) {
         self.outcomes.restore(key, counts);
     }
 
-    /// Restores the fleet baseline of a rollout that continues.
+    /// Restores the fleet baseline of a rollout that is still in progress after a restart.
     pub(crate) fn restore_fleet_baseline(&mut self, baseline: FleetBaseline) {
         self.fleet_baseline = baseline;
     }
 
-    /// The build that was rejected last, by this instance or before its restart.
-    pub(crate) fn last_rejection(&self, memory: Duration, now: Timestamp) -> Option<Rejection> {
+    /// Returns the last rejection, by this instance or, if it has not expired, from before its
+    /// restart. `retention` is the time for which a restored rejection is kept.
+    pub(crate) fn last_rejection(&self, retention: Duration, now: Timestamp) -> Option<Rejection> {
         let restored = self
             .restored_rejection
             .filter(|restored| now < restored.until);
         let restored = restored.map(|restored| Rejection {
             build: restored.build,
-            rejected_at: restored.until - memory,
+            rejected_at: restored.until - retention,
         });
         self.rejection.or(restored)
     }
 
-    /// Restores that a build was rejected before a restart.
+    /// Restores the rejection of a build from before a restart; it applies until `until`.
     pub(crate) fn restore_rejection(&mut self, build: BuildNumber, until: Timestamp) {
         self.restored_rejection = Some(RestoredRejection { build, until });
     }
 }
 
-/// The margin for the number of instances that vote.
+/// Returns the margin that accounts for the number of instances that vote.
 fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
     bounds.instance_margin(instances, votes, SQRT_VOTES_OFFSET)
 }
 
-/// Conditions from before a restart may have ended: this instance's own outcomes must show the same
-/// direction.
+/// Returns whether the outcomes since the restart agree with a rejection that also counts restored
+/// outcomes. The conditions behind the restored ones may have ended, so this instance must itself
+/// have observed a failure and a higher failure share than the baseline's.
 fn own_outcomes_agree(evidence: &Evidence, test: EvidenceTest) -> bool {
     let own = evidence.own_candidate(test);
     let is_worse = own.failure_share() > evidence.tested(test).baseline.failure_share();
     own.failures >= 1.0 && is_worse || evidence.restored_candidate(test).outcomes == 0.0
 }
 
-/// By how much the score must exceed the bound. The fewer endpoints the outcomes come from, the
-/// larger is the margin: a single endpoint may be affected by a noisy neighbour.
+/// Returns the margin by which a score must exceed the upper bound. It grows as the outcomes come
+/// from fewer endpoints, because a single endpoint may be affected by a noisy neighbour.
 fn evidence_margin(evidence: &Evidence, test: EvidenceTest) -> f64 {
-    // Without concurrent outcomes of the previous build, errors may be caused by a few endpoints.
+    // Without a concurrent baseline, the errors may have been caused by a few endpoints rather than
+    // by the build, so the larger margin applies.
     let lacks_baseline = test == EvidenceTest::Errors && evidence.lacks_baseline_endpoints;
     let margin_test = if lacks_baseline {
         EvidenceTest::Failures
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -1,7 +1,8 @@
-//! What counts as evidence for or against a build, and what as a failure.
+//! Decides which outcomes of attempts are evidence about a build, and which of them are failures.
 //!
-//! An outcome is evidence unless something other than the build explains it: the start-up of the
-//! endpoint, its load, a stall of this instance, or a crash that has been counted already.
+//! An outcome is evidence unless it can be explained by something other than the build: by the
+//! start-up or the load of the endpoint, by a stall of this instance, or by a crash that has been
+//! counted already.
 
 use std::time::Duration;
 
@@ -14,42 +15,39 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, Timestamp, fractional_micros};
 
-/// A response is slow if it takes this multiple of the baseline latency of its hardware class, …
+/// A response is slow if its latency exceeds both the baseline latency of its hardware class times
+/// this factor, and the latency that the endpoint's load explains times [`LOAD_FACTOR`].
 const SLOW_FACTOR: f64 = 2.0;
-/// … and this multiple of what the load of its endpoint explains.
+/// Tolerance over the baseline latency scaled to the endpoint's load; see [`SLOW_FACTOR`].
 const LOAD_FACTOR: f64 = 1.35;
-/// Connections that are reset within this time of one another were reset by one crash.
+/// Connection resets at an endpoint within this time after a crash are attributed to that crash.
 const CRASH_WINDOW: Duration = Duration::from_secs(1);
 
 /// An attempt that has ended or timed out.
 #[derive(Debug)]
 pub(crate) struct AttemptEvidence<'a> {
-    /// The attempt.
     pub(crate) attempt: &'a Attempt,
-    /// How it ended.
     pub(crate) outcome: AttemptOutcome,
-    /// How long it took.
     pub(crate) latency: Duration,
-    /// The latency objective of its route.
+    /// The latency objective of the route.
     pub(crate) objective: Duration,
-    /// State of its endpoint.
     pub(crate) endpoint: EndpointObservation,
 }
 
-/// State of the endpoint of an attempt when the attempt has ended.
+/// The state of an attempt's endpoint at the time when the attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointObservation {
-    /// Requests in flight there.
+    /// Number of requests in flight at the endpoint.
     pub(crate) load: f64,
-    /// How long the request usually takes on its hardware class, where that is known.
+    /// The usual latency of the request on the endpoint's hardware class, if known.
     pub(crate) class_baseline: Option<ClassBaseline>,
-    /// The fraction of its capacity that it certainly has.
+    /// A lower bound on the fraction of its full capacity that the endpoint has reached.
     pub(crate) warm_up_fraction: f64,
-    /// When it last responded.
+    /// When the endpoint last responded to any request.
     pub(crate) last_response_at: Timestamp,
 }
 
-/// Whether an attempt was slow, if the baseline latency is known.
+/// Returns whether an attempt was slow, or `None` if the baseline latency is unknown.
 fn is_slow(evidence: &AttemptEvidence<'_>) -> Option<bool> {
     let endpoint = &evidence.endpoint;
     let load_when_sent = evidence.attempt.conditions.endpoint_load;
@@ -60,15 +58,15 @@
     Some(fractional_micros(evidence.latency) > usual_micros * factor)
 }
 
-/// Crashes of endpoints: a process that dies is one failure, not one for each attempt that was in
-/// flight there. A build that crashes repeatedly is still seen.
+/// Deduplicates crashes of endpoints: a crash counts as one failure, however many attempts were in
+/// flight at the endpoint. Repeated crashes of a build are still counted.
 #[derive(Debug, Default)]
 pub(super) struct CrashTracker {
     last_crash_at: IndexedTable<EndpointIndex, Timestamp>,
 }
 
 impl CrashTracker {
-    /// A new endpoint has taken this index.
+    /// Initializes the state of an endpoint that has been assigned this index.
     pub(super) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.last_crash_at.put(index, Timestamp::ZERO);
     }
@@ -82,8 +80,8 @@
     }
 }
 
-/// For each test, whether the attempt is a failure there, or `None` where it is no evidence.
-/// Returns `None` if it is no evidence in any test.
+/// Returns for each test whether the attempt is a failure, with `None` for tests in which it is not
+/// evidence. Returns `None` if it is not evidence in any test.
 pub(super) fn classify_attempt(
     evidence: &AttemptEvidence<'_>,
     crashes: &mut CrashTracker,
@@ -105,31 +103,31 @@
         crashes.record(attempt.endpoint, context.now);
     }
     let is_failure = outcome.is_error() || is_late || outcome == AttemptOutcome::TimedOut;
-    // The time until an error is no measure of speed.
+    // The latency of an error response says nothing about how fast the build is.
     let lacks_latency = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
     let is_slow = is_slow.filter(|_| !lacks_latency);
     let has_baseline = attempt.conditions.has_concurrent_baseline;
-    // Attempts that were in flight when the rollout began were long ones, and would make it look
-    // slow.
+    // Attempts that were in flight when the rollout began are long ones, and counting them would
+    // make the fleet look slower than its baseline.
     let fleet_is_comparable =
         attempt.conditions.comparable_to_baseline && attempt.sent_at >= fleet_baseline.taken_at;
     Some(PerTest::new([
         has_baseline.then_some(is_failure),
         is_slow.filter(|_| has_baseline),
-        // Reset connections and malformed responses are also caused by links and peers, and this
-        // test may have no concurrent baseline.
+        // Connection resets and malformed responses can also be caused by the network or by a peer.
+        // They are not errors here, because this test may run without a concurrent baseline.
         Some(outcome == AttemptOutcome::Failed),
         is_slow.filter(|_| fleet_is_comparable),
     ]))
 }
 
-/// Whether the outcome, or the time that it took, counts as evidence at all.
+/// Returns whether the outcome of an attempt, or its latency, is evidence in any test.
 fn is_evidence(evidence: &AttemptEvidence<'_>, is_slow: Option<bool>, stalled: bool) -> bool {
     let AttemptEvidence {
         attempt, outcome, ..
     } = *evidence;
-    // A late response is evidence only if the load does not explain it, or if the endpoint has not
-    // responded to anything since.
+    // A late response is evidence only if the load does not explain its latency, or if the endpoint
+    // has not responded to any request since the attempt was sent.
     let is_unexplained = attempt.conditions.warm
         && (is_slow == Some(true) || evidence.endpoint.last_response_at <= attempt.sent_at);
     let is_late = is_late(evidence.latency, evidence.objective);
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -1,4 +1,4 @@
-//! Rule 5: how much traffic a build under evaluation may get, counted in exact sliding windows.
+//! Limits the traffic to builds under evaluation (rule 5), with exact counts over a sliding window.
 
 use super::RolloutView;
 use crate::settings::Idempotency;
@@ -6,23 +6,23 @@
 use crate::step_context::StepContext;
 use crate::types::{BuildNumber, RouteIndex, StageIndex, Timestamp};
 
-/// Requests are counted for all builds together.
+/// The key under which requests are counted, since a request does not belong to a build.
 const ALL_BUILDS: BuildNumber = BuildNumber::new(0);
 
-/// Admits attempts at builds under evaluation: within any window their number stays within an
-/// allowance plus the traffic cap times the number of requests.
+/// Limits attempts at builds under evaluation: within any window, their number is at most a fixed
+/// allowance plus the traffic cap times the number of admitted requests.
 ///
-/// Bounded by [`ExposureLimiter::expire`], which drops events older than the window.
+/// [`ExposureLimiter::expire`] bounds its size by removing events older than the window.
 #[derive(Debug, Default)]
 pub(crate) struct ExposureLimiter {
     admitted_requests: SlidingWindow,
     attempts: SlidingWindow,
-    /// From then on a lower cap applies, and only requests admitted later count towards it.
+    /// When a lowered cap takes effect. Only requests admitted after this time count towards it.
     lower_cap_applies_at: Option<Timestamp>,
 }
 
 impl ExposureLimiter {
-    /// A request has been admitted.
+    /// Records that a request has been admitted.
     pub(crate) fn record_request(&mut self, route: RouteIndex, now: Timestamp) {
         let key = WindowKey {
             build: ALL_BUILDS,
@@ -31,25 +31,25 @@
         self.admitted_requests.push(key, now);
     }
 
-    /// An attempt has been sent to a build.
+    /// Records that an attempt has been sent to a build.
     pub(crate) fn record_attempt(&mut self, key: WindowKey, now: Timestamp) {
         self.attempts.push(key, now);
     }
 
-    /// An attempt that was recorded at `sent_at` has not been sent yet.
+    /// Removes the attempt that was recorded at `sent_at`, because it has not been written yet.
     pub(crate) fn remove_attempt(&mut self, key: WindowKey, sent_at: Timestamp) {
         self.attempts.remove(key, sent_at);
     }
 
-    /// The cap has been lowered: requests are counted anew, from now on and once more from when the
-    /// lower cap applies.
+    /// Resets the count of requests because the cap has been lowered: now, and again when the lower
+    /// cap takes effect.
     pub(crate) fn restart_counting(&mut self, applies_from: Timestamp) {
         self.lower_cap_applies_at = Some(applies_from);
         self.admitted_requests.clear();
     }
 
-    /// Drops events that are older than the window, and starts counting anew if a lower cap applies
-    /// by now.
+    /// Removes events that are older than the window, and resets the count of requests if a lowered
+    /// cap has taken effect.
     pub(crate) fn expire(&mut self, context: &StepContext) {
         let now = context.now;
         if self.lower_cap_applies_at.take_if(|at| now >= *at).is_some() {
@@ -60,7 +60,7 @@
         self.attempts.remove_before(window_start);
     }
 
-    /// Whether one more attempt of this route may be sent to this build.
+    /// Returns whether one more attempt may be sent to the build on the route of `key`.
     pub(crate) fn may_attempt(
         &self,
         key: WindowKey,
@@ -92,8 +92,9 @@
         (attempts + 1) as f64 <= settings.exposure_allowance + cap * requests as f64
     }
 
-    /// Requests admitted within a window, on one route or on all. One exactly a window old no
-    /// longer counts, whereas an attempt exactly a window old still does.
+    /// Number of requests admitted within the window, on one route or on all routes if `None`. A
+    /// request at exactly the start of the window is excluded, whereas an attempt at that time is
+    /// included, so that the limit errs on the low side.
     fn requests_since(&self, route: Option<RouteIndex>, window_start: Timestamp) -> usize {
         let after_start = Timestamp::from_micros(window_start.as_micros() + 1);
         self.admitted_requests
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -1,4 +1,4 @@
-//! The fleet as it was before the rollout, with which the whole fleet is compared during it.
+//! The state of the fleet before the rollout, with which the fleet is compared during the rollout.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 use crate::step_context::StepContext;
 use crate::types::Timestamp;
 
-/// Over what time the rate of attempts is averaged, and for how long it counts as measured at
-/// least.
+/// Time constant over which the rate of attempts is averaged.
 const ATTEMPTS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
+/// The shortest time over which the rate of attempts is computed.
 const MIN_ATTEMPTS_LIFETIME: Duration = Duration::from_secs(1);
-/// The fleet can be compared with its baseline while at least nine in ten of the endpoints of that
-/// time are in service, …
+/// The fleet is comparable with its baseline only while the number of endpoints in service is at
+/// least this many tenths of the number at the time of the baseline.
 const MIN_ENDPOINT_TENTHS: usize = 9;
-/// … and while this instance sends at most this multiple of what it sent then, plus sampling error.
+/// The fleet is comparable with its baseline only while this instance sends attempts at no more
+/// than this multiple of its rate at the time of the baseline, plus a tolerance for sampling error.
 const MAX_RATE_FACTOR: f64 = 1.2;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The fleet before the rollout.
+/// The state of the fleet before the rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FleetBaseline {
-    /// Slow responses and all responses.
+    /// The responses, and the slow ones among them as failures.
     pub(crate) arm: Arm,
-    /// When it was taken.
     pub(crate) taken_at: Timestamp,
-    /// Endpoints in service then.
+    /// Number of endpoints in service at `taken_at`.
     pub(crate) endpoints: usize,
-    /// Attempts a second that this instance sent then.
+    /// Rate at which this instance sent attempts at `taken_at`.
     pub(crate) attempts_per_second: f64,
 }
 
 impl Default for FleetBaseline {
-    /// Nothing is known, and any rate is comparable.
+    /// A baseline without responses, with which any rate of attempts is comparable.
     fn default() -> FleetBaseline {
         FleetBaseline {
             arm: Arm::default(),
@@ -46,7 +46,7 @@
 }
 
 impl FleetBaseline {
-    /// Keeps the responses of the previous baseline where there were few since.
+    /// Keeps the responses of the previous baseline if there have been too few since then.
     pub(super) fn keep_previous_arm_if_sparse(&mut self, previous: &FleetBaseline) {
         let needed = previous.arm.outcomes.min(MIN_FLEET_OUTCOMES);
         let has_enough = self.arm.outcomes >= needed;
@@ -55,15 +55,16 @@
         }
     }
 
-    /// The arm for the test, to which a few outcomes with a usual share of slow ones are added in
-    /// case there were few.
+    /// Returns the arm for the test. A prior of a few outcomes with a usual share of slow ones is
+    /// added, so that the share is sensible if there were few responses.
     pub(super) fn arm_with_prior(&self) -> Arm {
         let mut arm = self.arm;
         arm.add(PRIOR_OUTCOMES, PRIOR_FAILURES);
         arm
     }
 
-    /// Whether the fleet and this instance's share of its load are comparable with the baseline.
+    /// Returns whether the endpoints in service and the rate at which this instance sends attempts
+    /// are comparable with the baseline.
     fn is_comparable(&self, in_service: InService, attempts_per_second: f64) -> bool {
         let scaled_rate =
             self.attempts_per_second * MICROS_PER_SECOND / ATTEMPTS_TIME_CONSTANT.as_micros();
@@ -78,43 +79,41 @@
 /// The state of the fleet when an attempt is sent.
 #[derive(Debug)]
 pub(crate) struct FleetState<'a> {
-    /// The newest build's rollout.
+    /// The rollout of the newest build.
     pub(crate) rollout: Option<Rollout>,
-    /// Endpoints in service.
     pub(crate) in_service: InService,
-    /// No rollout is in progress, and most responses are quick.
+    /// No rollout is in progress or ended recently, and most responses are fast.
     pub(crate) is_steady: bool,
-    /// The fleet before the rollout.
     pub(crate) baseline: &'a FleetBaseline,
 }
 
-/// Decides whether the state of the fleet allows a comparison with the time before the rollout.
+/// Decides whether the fleet can be compared with its state before the rollout.
 #[derive(Debug)]
 pub(crate) struct FleetComparison {
     attempts: DecayingRate,
 }
 
 impl FleetComparison {
-    /// Of an instance that has sent nothing yet.
+    /// Creates the comparison of an instance that has not sent any attempts.
     pub(crate) fn new() -> FleetComparison {
         FleetComparison {
             attempts: DecayingRate::new(ATTEMPTS_TIME_CONSTANT, MIN_ATTEMPTS_LIFETIME),
         }
     }
 
-    /// An attempt has been sent.
+    /// Records that an attempt has been sent.
     pub(crate) fn record_attempt(&mut self, now: Timestamp) {
         self.attempts.record(now);
     }
 
-    /// Attempts that this instance sends a second.
+    /// Rate at which this instance sends attempts.
     pub(crate) fn attempts_per_second(&mut self, context: &StepContext) -> f64 {
         self.attempts.per_second(context.lifetime(), context.now)
     }
 
-    /// Whether slow responses can be compared with those before the rollout. Lost endpoints, a
-    /// traffic surge, and congestion from before the build serves slow down the fleet too, and are
-    /// no evidence about the build.
+    /// Returns whether slow responses can be compared with those before the rollout. Lost
+    /// endpoints, a traffic surge, and congestion from before the build starts serving also slow
+    /// down the fleet, and are not evidence about the build.
     pub(crate) fn is_comparable(&mut self, fleet: &FleetState<'_>, context: &StepContext) -> bool {
         let attempts_per_second = self.attempts_per_second(context);
         let is_serving = |rollout: Rollout| rollout.phase.is_serving();
--- a/crates/policy/src/rollout/fleet_view.rs
+++ b/crates/policy/src/rollout/fleet_view.rs
@@ -1,13 +1,11 @@
-//! What the evaluation reads of the fleet.
+//! The part of the fleet's state that the evaluation reads.
 
 use crate::endpoints::EndpointTable;
 use crate::health::HealthChecker;
 
-/// Endpoints and their health, for reading.
+/// Read-only access to the endpoints and their health.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetView<'a> {
-    /// The endpoints.
     pub(crate) endpoints: &'a EndpointTable,
-    /// Their health.
     pub(crate) health: &'a HealthChecker,
 }
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -1,4 +1,4 @@
-//! Outcomes by build and endpoint, and the arms of each test that are made of them.
+//! Outcome counts by build and endpoint, from which the arms of each test are summed.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -11,31 +11,31 @@
 use crate::statistics::{Arm, Arms, EndpointOutcomes, OutcomeCounts, OutcomeKey, PerTest};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
-/// The evidence that one evaluation looks at.
+/// The evidence used in one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
     /// This instance's own outcomes.
     own: PerTest<Arms>,
     /// Outcomes from before this instance's restart.
     restored: PerTest<Arms>,
-    /// What the tests look at: own and restored outcomes, and what is added where there are few.
+    /// The arms passed to the tests: own outcomes, a limited number of restored ones, and priors.
     tested: PerTest<Arms>,
     /// No endpoint of the baseline is in service.
     pub(super) lacks_baseline_endpoints: bool,
 }
 
 impl Evidence {
-    /// Adds the fleet before the rollout, with which the whole fleet is compared.
+    /// Sets the fleet before the rollout as the baseline of the fleet-wide test.
     pub(super) fn set_fleet_baseline(&mut self, baseline: Arm) {
         self.tested[EvidenceTest::FleetSlowdown].baseline = baseline;
     }
 
-    /// What a test looks at.
+    /// Returns the arms that are passed to a test.
     pub(super) fn tested(&self, test: EvidenceTest) -> Arms {
         self.tested[test]
     }
 
-    /// This instance's own outcomes of the build under evaluation.
+    /// Outcomes of the build under evaluation that this instance has counted since it started.
     pub(super) fn own_candidate(&self, test: EvidenceTest) -> Arm {
         self.own[test].candidate
     }
@@ -45,16 +45,16 @@
         self.restored[test].candidate
     }
 
-    /// How many of the restored outcomes of the build under evaluation a test counts.
+    /// The number of restored outcomes of the build under evaluation that a test uses.
     pub(super) fn counted_restored_outcomes(&self, test: EvidenceTest) -> f64 {
         let restored = self.restored_candidate(test).outcomes;
         restored.min(MAX_RESTORED_CANDIDATE_OUTCOMES)
     }
 }
 
-/// Outcomes by build and endpoint: this instance's own, and those restored from a snapshot.
+/// Outcome counts by build and endpoint: this instance's own, and those restored from a snapshot.
 ///
-/// Bounded by [`OutcomeTable::forget_expired`], since all counts decay.
+/// [`OutcomeTable::forget_expired`] bounds its size by removing counts that have decayed.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeTable {
     own: BTreeMap<OutcomeKey, OutcomeCounts>,
@@ -62,7 +62,8 @@
 }
 
 impl OutcomeTable {
-    /// Adds one outcome to each test for which it is evidence: whether it is a failure there.
+    /// Adds one outcome. `is_failure` says for each test whether the outcome is a failure, or holds
+    /// `None` if it is not evidence in that test.
     pub(super) fn record(
         &mut self,
         key: OutcomeKey,
@@ -73,7 +74,7 @@
         counts.add(is_failure, now, &EVIDENCE_TIME_CONSTANTS);
     }
 
-    /// Adds a failure to one test whose outcome has been counted before.
+    /// Adds a failure to one test. Its outcome has been counted earlier and is not added again.
     pub(super) fn record_late_failure(
         &mut self,
         key: OutcomeKey,
@@ -90,7 +91,7 @@
         self.restored.insert(key, counts);
     }
 
-    /// The sum of own and restored counts of one build and endpoint.
+    /// Returns the sum of own and restored counts of one build and endpoint.
     pub(super) fn total(&mut self, key: OutcomeKey, now: Timestamp) -> OutcomeCounts {
         let mut total = OutcomeCounts::default();
         for counts in [&mut self.own, &mut self.restored] {
@@ -102,7 +103,8 @@
         total
     }
 
-    /// Up to `limit` keys that have counts, in order from the first one that is not before `from`.
+    /// Returns keys that have counts, in order from `from` on. The limit applies separately to own
+    /// and to restored counts.
     pub(super) fn keys_from(&self, from: OutcomeKey, limit: usize) -> Vec<OutcomeKey> {
         let range = (Bound::Included(from), Bound::Unbounded);
         let own = self.own.range(range).map(|(key, _)| *key).take(limit);
@@ -118,7 +120,7 @@
         self.own.len()
     }
 
-    /// Drops counts of which next to nothing is left.
+    /// Removes counts that have decayed to a negligible amount.
     pub(super) fn forget_expired(&mut self, now: Timestamp) {
         for counts in [&mut self.own, &mut self.restored] {
             counts.retain(|_, counts| {
@@ -128,13 +130,14 @@
         }
     }
 
-    /// Whether there are counts of this endpoint.
+    /// Returns whether there are counts of this endpoint.
     pub(super) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
         let mut keys = self.own.keys().chain(self.restored.keys());
         keys.any(|key| key.endpoint == endpoint)
     }
 
-    /// The slow responses of the fleet's best endpoints, which are counted anew from now on.
+    /// Returns the responses of the endpoints with the smallest shares of slow responses, and
+    /// resets the counts of the fleet-wide test for all endpoints.
     pub(super) fn take_fleet_arm(&mut self, now: Timestamp) -> Arm {
         let mut by_endpoint = Vec::new();
         for counts in self.own.values_mut() {
@@ -147,7 +150,7 @@
         Arm::from_best_endpoints(by_endpoint, BEST_ENDPOINTS_FRACTION)
     }
 
-    /// All evidence on the newest build, except for the fleet before the rollout.
+    /// Returns the evidence on the newest build, without the baseline of the fleet-wide test.
     pub(super) fn evidence(
         &mut self,
         newest: BuildNumber,
@@ -189,8 +192,9 @@
         for (key, counts) in counts_up_to(&mut self.own, newest) {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut evidence.arms, counts, key.build == newest);
-            // An ejected endpoint is lost to the fleet rather than slowed down. The counts of the
-            // build that ran there before still say how fast the fleet was.
+            // An ejected endpoint is lost to the fleet rather than slowed down, so the counts of
+            // its present build are left out. Those of an earlier build at that endpoint still
+            // show how fast the fleet was.
             let is_lost = fleet.health.is_ejected(key.endpoint)
                 && fleet.endpoints[key.endpoint].build() == key.build;
             if !is_lost {
@@ -210,21 +214,21 @@
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut arms, counts, key.build == newest);
         }
-        // The fleet may have changed over the restart.
+        // The fleet may have changed during the restart, so its latencies are not comparable.
         arms[EvidenceTest::FleetSlowdown] = Arms::default();
         arms
     }
 }
 
-/// What this instance has observed itself.
+/// Evidence that this instance has collected since it started.
 #[derive(Default)]
 struct OwnEvidence {
     arms: PerTest<Arms>,
-    /// Slow responses by endpoint.
+    /// Responses and the slow ones among them, by endpoint, for the fleet-wide test.
     by_endpoint: Vec<EndpointOutcomes>,
 }
 
-/// Counts of the newest build and earlier ones.
+/// Iterates over the counts of the newest build and of earlier ones.
 fn counts_up_to(
     counts: &mut BTreeMap<OutcomeKey, OutcomeCounts>,
     newest: BuildNumber,
@@ -247,7 +251,7 @@
     }
 }
 
-/// Adds outcomes from before a restart, a limited number to each arm.
+/// Adds a limited number of outcomes from before a restart to each arm.
 fn add_restored(arms: &mut Arms, restored: Arms) {
     arms.candidate
         .add_limited(restored.candidate, MAX_RESTORED_CANDIDATE_OUTCOMES);
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -1,19 +1,20 @@
-//! Tuned values of the evaluation.
+//! Parameters of the evaluation.
 
 use std::time::Duration;
 
 use crate::statistics::{PerTest, Rarity, ScoreParameters, TestParameters, TimeConstant};
 
-/// Rate of false alarms for which the bounds are chosen, from the operators' design.
+/// False-positive rate for which the bounds are chosen; set by the operators' design.
 pub(super) const ALPHA: f64 = 0.05;
-/// Rate of missed bad builds for which the bounds are chosen, from the operators' design.
+/// False-negative rate (missed bad builds) for which the bounds are chosen; set by the operators'
+/// design.
 pub(super) const BETA: f64 = 0.20;
 
-/// Outcomes that a baseline needs.
+/// Number of outcomes that a baseline needs before a test computes a score.
 const MIN_OUTCOMES: f64 = 20.0;
 
-/// Failures of any kind. Late and lost responses are also caused by endpoints, links and load, so
-/// the score must exceed the bound by a margin.
+/// Parameters of the test for failures of any kind. Late and lost responses are also caused by
+/// endpoints, the network and load, so the score must exceed the bound by a margin.
 const FAILURES: TestParameters = TestParameters {
     minimum_effect: 0.03,
     rarity: Rarity::Rare(1.0),
@@ -22,7 +23,8 @@
     min_baseline_outcomes: MIN_OUTCOMES,
 };
 
-/// What differs from test to test: failures, slowness, errors, fleet slowdown.
+/// Parameters that differ between the tests, in the order failures, slowness, errors, fleet
+/// slowdown.
 pub(super) const TEST_PARAMETERS: PerTest<TestParameters> = PerTest::new([
     FAILURES,
     TestParameters {
@@ -30,16 +32,17 @@
         rarity: Rarity::Common,
         ..FAILURES
     },
-    // Errors are also compared across time: neither overload nor endpoint churn causes them.
-    // Without a concurrent baseline they get the margin of the failures (`evidence_margin` in the
-    // evaluator).
+    // Errors can also be compared with the time before the rollout, because neither overload nor
+    // endpoint churn causes them. Without a concurrent baseline, the evidence margin of the
+    // failures applies (see `evidence_margin` in the evaluator).
     TestParameters {
         rarity: Rarity::Rare(4.0),
         evidence_margin: 0.0,
         ..FAILURES
     },
-    // A build may slow down the endpoints of the previous one too. An instance that has started
-    // only recently does not know the time before the rollout.
+    // A build may also slow down the endpoints of the previous build, which a concurrent comparison
+    // does not show. The baseline needs more outcomes than the prior alone contributes, because an
+    // instance that has started only recently does not know the time before the rollout.
     TestParameters {
         minimum_effect: 0.18,
         rarity: Rarity::Common,
@@ -49,15 +52,15 @@
     },
 ]);
 
-/// What all tests share.
+/// Parameters that all tests share.
 pub(super) const SCORE_PARAMETERS: ScoreParameters = ScoreParameters {
     floor_share: 0.01,
     large_effect_factor: 4.0,
     large_effect_standard_errors: 3.0,
 };
 
-/// How fast outcomes lose their weight: without decay, a build that turns bad late would be hidden
-/// by its good start.
+/// Time constants with which outcome counts decay, in the order of the tests. Without decay, the
+/// good early outcomes of a build that degrades late would mask the degradation.
 pub(super) const EVIDENCE_TIME_CONSTANTS: PerTest<TimeConstant> = PerTest::new([
     TimeConstant::from_secs(10),
     TimeConstant::from_secs(10),
@@ -65,32 +68,34 @@
     TimeConstant::from_secs(20),
 ]);
 
-/// A build that slows down the fleet is seen on most endpoints; what slows down some of them may be
-/// a noisy neighbour. The endpoints with the smallest shares of slow responses count, up to this
-/// share of all responses.
+/// The test for a fleet slowdown uses the endpoints with the smallest shares of slow responses, up
+/// to this fraction of all responses. A build that slows down the fleet affects most endpoints,
+/// whereas a slowdown of only some may be due to a noisy neighbour.
 pub(super) const BEST_ENDPOINTS_FRACTION: f64 = 0.67;
 
-/// Outcomes from before a restart count up to this number for the build under evaluation, …
+/// The largest number of outcomes from before a restart that count for the build under evaluation.
+/// Restored outcomes shorten the time to a verdict, but never suffice for one.
 pub(super) const MAX_RESTORED_CANDIDATE_OUTCOMES: f64 = MIN_OUTCOMES / 2.0;
-/// … and up to this one for the baseline: they speed up a verdict and never suffice for one.
+/// The largest number of outcomes from before a restart that count for the baseline.
 pub(super) const MAX_RESTORED_BASELINE_OUTCOMES: f64 = 2.0 * MIN_OUTCOMES;
 
-/// Outcomes that are added to the fleet baseline, and to the baseline of errors while no endpoint
-/// of it is in service, …
+/// Outcomes of the prior that is added to the fleet baseline, and to the baseline of the errors
+/// while no baseline endpoint is in service.
 pub(super) const PRIOR_OUTCOMES: f64 = MIN_OUTCOMES;
-/// … and the failures among them.
+/// Failures among [`PRIOR_OUTCOMES`].
 pub(super) const PRIOR_FAILURES: f64 = 0.15 * MIN_OUTCOMES;
 
-/// Responses of a steady fleet that replace the fleet baseline of the rollout before; with fewer,
-/// the earlier one stays.
+/// Number of responses of a steady fleet that suffices to replace the fleet baseline of the
+/// previous rollout. With fewer, the previous baseline is kept.
 pub(super) const MIN_FLEET_OUTCOMES: f64 = 5.0 * MIN_OUTCOMES;
 
-/// The evidence margin grows by this multiple of itself where one endpoint gave all outcomes.
+/// Relative increase of the evidence margin if all outcomes come from one endpoint. With more
+/// endpoints, the increase is smaller.
 pub(super) const CONCENTRATION_MARGIN_FACTOR: f64 = 2.0;
 
-/// Correction to the root of the number of votes, for how rarely several instances vote
-/// simultaneously.
+/// Correction, subtracted from the square root of the number of votes, that accounts for how rarely
+/// several instances vote at the same time.
 pub(super) const SQRT_VOTES_OFFSET: f64 = 0.82;
 
-/// A hold is released at the latest this long after its stage began.
+/// A hold is released at the latest when this time has passed since the stage began.
 pub(super) const MAX_HOLD_TIME: Duration = Duration::from_secs(3);
--- a/crates/policy/src/rollout/status.rs
+++ b/crates/policy/src/rollout/status.rs
@@ -6,8 +6,8 @@
 use crate::step_context::StepContext;
 use crate::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex, Timestamp};
 
-/// The fleet is steady this long after the end of a rollout, or after the time that endpoints need
-/// to warm up if that is longer.
+/// Time after the end of a rollout for which the fleet does not yet count as settled. The warm-up
+/// time of endpoints applies instead if it is longer.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
 
 /// The rollout of the newest build.
@@ -15,38 +15,36 @@
 pub struct Rollout {
     /// The newest build.
     pub build: BuildNumber,
-    /// Stage of its evaluation.
+    /// The current stage of the rollout.
     pub stage: StageIndex,
-    /// Phase of its rollout.
+    /// The current phase of the rollout.
     pub phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
+    /// The largest share of the requests that may be sent to the build.
     pub traffic_cap: f64,
-    /// When stage and phase began.
+    /// When the current stage and phase began.
     pub since: Timestamp,
 }
 
-/// The rollout and the endpoints, for reading.
+/// Read-only access to the rollout and the endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RolloutView<'a> {
-    /// The rollout.
     pub(crate) rollout: &'a RolloutTracker,
-    /// The endpoints.
     pub(crate) endpoints: &'a EndpointTable,
 }
 
 impl RolloutView<'_> {
-    /// Whether a build counts as under evaluation.
+    /// Returns whether a build counts as under evaluation.
     pub(crate) fn is_under_evaluation(&self, build: BuildNumber) -> bool {
         self.rollout.is_under_evaluation(build, self.endpoints)
     }
 }
 
-/// What a status has changed.
+/// What an announced status changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RolloutChange {
-    /// It names a later build than the status before.
+    /// The build is newer than that of the previous status, or this is the first status.
     pub(crate) is_new_build: bool,
-    /// It has lowered the traffic cap of the same build.
+    /// The build is the same as in the previous status, and its traffic cap is lower.
     pub(crate) has_lower_cap: bool,
 }
 
@@ -54,17 +52,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct RolloutTracker {
     current: Option<Rollout>,
-    /// A build under evaluation or being rolled back was seen since this instance's start.
+    /// This instance has received the status of a canary or of a rollback since it started.
     rollout_seen: bool,
 }
 
 impl RolloutTracker {
-    /// The rollout, once the platform has announced it.
+    /// The rollout of the newest build, or `None` until the platform has announced one.
     pub(crate) fn current(&self) -> Option<Rollout> {
         self.current
     }
 
-    /// Takes an announced status.
+    /// Applies a status that the platform has announced.
     pub(crate) fn update(&mut self, status: RolloutStatus, now: Timestamp) -> RolloutChange {
         let RolloutStatus {
             build,
@@ -91,13 +89,15 @@
         }
     }
 
-    /// The newest build is being taken out or has been, or no rollout is known.
+    /// Returns whether the newest build is being replaced by the previous one or has been
+    /// withdrawn, or no rollout is known.
     pub(crate) fn is_ending(&self) -> bool {
         self.current.is_none_or(|rollout| rollout.phase.is_ending())
     }
 
-    /// Whether a build counts as under evaluation: the platform has not announced it, or not as
-    /// released. Before any announcement, that is each build but the oldest listed one.
+    /// Returns whether a build counts as under evaluation, because the platform has not announced
+    /// it, or has not announced it as released. Before the first announcement, every build except
+    /// the oldest listed one counts as under evaluation.
     pub(crate) fn is_under_evaluation(
         &self,
         build: BuildNumber,
@@ -114,9 +114,9 @@
         }
     }
 
-    /// No rollout is in progress, and the last one ended long enough ago for the fleet to have
-    /// settled. An instance that has seen no rollout since its start need not wait: it must learn
-    /// baselines immediately, and no congestion is left over from a rollout.
+    /// Returns whether no rollout is in progress and the last one ended long enough ago for the
+    /// fleet to have settled. An instance that has seen no rollout since it started does not wait:
+    /// it must learn baselines immediately, and no congestion remains from a rollout.
     pub(crate) fn has_settled(&self, context: &StepContext) -> bool {
         let Some(rollout) = self.current else {
             return true;
--- a/crates/policy/src/rollout/verdict.rs
+++ b/crates/policy/src/rollout/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict that a build must be rolled back, with the evidence on which it is based.
+//! Builds the verdict that a build must be rolled back, with the evidence for it.
 
 use super::fleet_view::FleetView;
 use super::outcome_table::Evidence;
@@ -7,18 +7,17 @@
 use crate::statistics::{Arm, WaldBounds};
 use crate::types::{EvidenceTest, FailureShare, RollbackVerdict};
 
-/// The result of a test that has passed its bound.
+/// The result of a test whose score has reached the upper bound.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TestResult {
-    /// The test.
     pub(super) test: EvidenceTest,
-    /// Its score, less all margins.
+    /// The score, reduced by all margins.
     pub(super) score: f64,
-    /// The bounds of the score.
+    /// The bounds with which the score was compared.
     pub(super) bounds: WaldBounds,
 }
 
-/// The verdict on a build.
+/// Returns the verdict that rejects the build of a rollout because of the given test result.
 pub(super) fn rollback_verdict(
     rollout: Rollout,
     result: TestResult,
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -1,4 +1,4 @@
-//! Votes: which vote on the build is sent to the platform, and when.
+//! Decides which vote on the newest build is sent to the platform, and when.
 
 use std::time::Duration;
 
@@ -10,31 +10,33 @@
     Ballot, BuildNumber, RolloutPhase, StageIndex, Timestamp, Vote, VoteResult, whole_micros,
 };
 
-/// The response to a vote is awaited for this much longer than the platform's time limit.
+/// A pending vote is given up if no response has arrived this long after the vote timeout.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// A vote is renewed after this number of tenths of its lifetime.
+/// A vote is renewed after this many tenths of its lifetime.
 const RENEWAL_TENTHS: u64 = 6;
-/// Votes are spread over half of their lifetime, in microseconds.
+/// Divides a vote's lifetime in microseconds to give half of it in seconds. The votes of all
+/// instances are spread over this time.
 const SPREAD_DIVISOR: f64 = 2e6;
 
-/// A vote, and when it was cast or accepted.
+/// A vote that has been sent to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CastVote {
     ballot: Ballot,
+    /// When a pending vote was sent, or a standing vote was accepted.
     at: Timestamp,
 }
 
-/// Decides when to vote, and keeps what the platform knows of this instance's votes.
+/// Decides when to vote, and tracks the votes that the platform has accepted from this instance.
 #[derive(Debug)]
 pub(crate) struct VoteScheduler {
-    /// The vote that counts.
+    /// The vote that counts at the platform, as far as this instance knows.
     standing_vote: CastVote,
-    /// The vote that has no response yet.
+    /// The vote that awaits a response.
     pending_vote: Option<CastVote>,
 }
 
 impl VoteScheduler {
-    /// Of an instance that starts now and has not voted.
+    /// Creates the scheduler of an instance that starts now and has not voted.
     pub(crate) fn new(now: Timestamp) -> VoteScheduler {
         let ballot = Ballot {
             build: BuildNumber::default(),
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Returns a vote to be cast if the standing one differs or will lapse soon. Votes are cast at
-    /// random, so that all instances together do not send more than the platform takes.
+    /// Returns the vote to cast if the standing vote differs from it or will expire soon. Votes are
+    /// cast at random times, so that all instances together stay within the platform's vote rate.
     pub(crate) fn next_vote(
         &mut self,
         rollout: Rollout,
@@ -81,8 +83,8 @@
             .is_some_and(|pending| now < pending.at + response_time)
     }
 
-    /// The platform knows this vote: the standing vote is equal and need not be renewed
-    /// yet, or there is no vote to withdraw.
+    /// Returns whether the ballot need not be cast: the standing vote is equal and not yet due for
+    /// renewal, or there is no vote to withdraw.
     fn is_redundant(&self, ballot: Ballot, settings: &Settings, now: Timestamp) -> bool {
         let CastVote {
             ballot: standing,
@@ -108,26 +110,26 @@
                 let ballot = pending.ballot;
                 self.standing_vote = CastVote { ballot, at: now };
             }
-            // The vote may count or not, so it is cast again.
+            // It is unknown whether the platform has counted the vote, so it is cast again.
             VoteResult::Unknown => self.standing_vote.ballot.vote = Vote::Abstain,
             VoteResult::Superseded | VoteResult::Busy | VoteResult::Failed => {}
         }
     }
 }
 
-/// After this time an accepted vote is cast again.
+/// Returns the time after which an accepted vote is cast again.
 fn renewal_time(settings: &Settings) -> Duration {
     Duration::from_micros(whole_micros(settings.vote_lifetime) * RENEWAL_TENTHS / 10)
 }
 
-/// The probability of casting a due vote in one evaluation.
+/// Returns the probability with which an instance casts a due vote in one evaluation.
 fn vote_probability(settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let lifetime = whole_micros(settings.vote_lifetime) as f64;
     settings.votes_per_second * lifetime / SPREAD_DIVISOR / instances
 }
 
-/// This instance's vote on the newest build.
+/// Returns how this instance should vote on the newest build.
 fn desired_vote(rollout: Rollout, assessment: Assessment, context: &StepContext) -> Vote {
     let is_canary = rollout.phase == RolloutPhase::Canary;
     let may_be_rolled_back = is_canary || rollout.phase == RolloutPhase::Released;
