--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: concurrency limits, priorities, and load shedding.
 //!
-//! A request is served in the order of its priority while fewer attempts are in flight than the
-//! concurrency limits allow; it is rejected or failed once it can no longer be answered in time.
+//! Requests are served in order of priority as long as the number of attempts in flight is below
+//! the concurrency limits. A request that can no longer be answered in time is rejected or failed.
 
 mod concurrency_limit;
 mod concurrency_limits;
--- a/crates/policy/src/admission/concurrency_limit.rs
+++ b/crates/policy/src/admission/concurrency_limit.rs
@@ -1,51 +1,53 @@
-//! One concurrency limit, which adapts to how latencies compare with their objective.
+//! A single concurrency limit that adapts to the ratio of observed latency to latency objective.
 
 use std::time::Duration;
 
 use crate::statistics::{DecayingMean, TimeConstant};
 use crate::types::Timestamp;
 
-/// Over what time the share of slow responses is averaged.
+/// Time constant of the moving average of the share of slow responses.
 const SLOW_SHARE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
-/// The share of its latency objective that a response should take at most; the limit follows it.
+/// A response counts as slow if its latency exceeds this fraction of its latency objective.
 const TARGET_LATENCY_RATIO: f64 = 0.25;
-/// The limit is congested while more than this share of the responses is slow.
+/// The limit is congested while the share of slow responses exceeds this threshold.
 const CONGESTED_SLOW_SHARE: f64 = 0.5;
-/// A congested limit shrinks by this factor.
+/// A congested limit is multiplied by this factor.
 const DECREASE_FACTOR: f64 = 0.8;
-/// A limit is kept near what is in use: at this multiple of it, and a few attempts more.
+/// An idle limit is lowered to this multiple of the attempts in flight, plus
+/// [`HEADROOM_ATTEMPTS`].
 const HEADROOM_FACTOR: f64 = 2.0;
+/// Attempts added to the scaled number of attempts in flight.
 const HEADROOM_ATTEMPTS: f64 = 4.0;
-/// A limit counts as used up while fewer than this number of attempts are left.
+/// A limit is saturated while it leaves room for at most this many further attempts.
 const SATURATION_MARGIN: f64 = 2.0;
-/// An unused limit shrinks by this factor at most in one evaluation.
+/// One evaluation multiplies an idle limit by no less than this factor.
 const MAX_IDLE_DECREASE_FACTOR: f64 = 0.95;
-/// No limit shrinks below one attempt.
+/// A decrease under congestion leaves a limit of at least one attempt.
 const MIN_LIMIT: f64 = 1.0;
 
-/// How a latency compares with its objective, and how much was in flight meanwhile.
+/// Input to a concurrency limit: a latency relative to its objective and the concurrent load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LimitSample {
-    /// The latency as a fraction of the objective.
+    /// Latency as a fraction of the objective.
     pub(super) ratio: f64,
-    /// The objective.
+    /// Latency objective of the route.
     pub(super) objective: Duration,
-    /// Attempts in flight under the limit.
+    /// Number of attempts in flight that count towards the limit.
     pub(super) in_flight: f64,
 }
 
-/// How many attempts may be in flight.
+/// An adaptive limit on the number of attempts in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConcurrencyLimit {
-    /// Only whole attempts count.
+    /// Current limit; fractional while it adapts, and rounded down when it is applied.
     limit: f64,
     last_decreased_at: Timestamp,
-    /// Responses that took too large a share of their objective, out of all responses.
+    /// Slow responses as a share of all responses.
     slow_responses: DecayingMean,
 }
 
 impl ConcurrencyLimit {
-    /// A limit with nothing learned yet.
+    /// Creates a limit with an initial value and no recorded responses.
     pub(super) fn new(limit: f64) -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit,
@@ -54,25 +56,25 @@
         }
     }
 
-    /// Whether one more attempt is within the limit.
+    /// Returns whether the limit allows one more attempt.
     pub(super) fn admits(&self, in_flight: f64) -> bool {
         in_flight < self.limit.floor()
     }
 
-    /// More than half of the responses took too large a share of their objective.
+    /// Returns whether the share of slow responses exceeds [`CONGESTED_SLOW_SHARE`].
     pub(super) fn is_congested(&self) -> bool {
         let responses = self.slow_responses.last_read();
         responses.sum > CONGESTED_SLOW_SHARE * responses.weight
     }
 
-    /// More than one in `responses_per_slow` responses took too large a share of their objective.
+    /// Returns whether more than one in `responses_per_slow` responses is slow.
     pub(super) fn exceeds_one_slow_per(&self, responses_per_slow: f64) -> bool {
         let responses = self.slow_responses.last_read();
         responses_per_slow * responses.sum > responses.weight
     }
 
-    /// Adapts the limit to a response. It grows where it is used up while responses are quick, and
-    /// shrinks under congestion once in half a latency objective.
+    /// Adapts the limit to the result of an attempt. A saturated limit increases while there is no
+    /// congestion. A congested limit decreases at most once per half latency objective.
     pub(super) fn record(&mut self, observed: LimitSample, now: Timestamp) {
         let is_slow = observed.ratio > TARGET_LATENCY_RATIO;
         self.slow_responses.add(f64::from(is_slow), now);
@@ -86,20 +88,20 @@
         }
     }
 
-    /// Lowers an unused limit to near what is in use: a limit far above it would let a queue build
-    /// up on endpoints under congestion.
+    /// Gradually lowers an idle limit towards the attempts in flight plus headroom. A limit far
+    /// above actual use would let queues build up at the endpoints once congestion sets in.
     pub(super) fn lower_idle_limit(&mut self, in_flight: f64) {
         let lowest_limit = MAX_IDLE_DECREASE_FACTOR * self.limit;
         self.limit = self.limit.min(with_headroom(in_flight).max(lowest_limit));
     }
 
-    /// Raises the limit to at least this.
+    /// Raises the limit to at least `minimum`.
     pub(super) fn raise_to(&mut self, minimum: f64) {
         self.limit = self.limit.max(minimum);
     }
 }
 
-/// A little above what is in use.
+/// Returns a limit that leaves headroom above the attempts in flight.
 fn with_headroom(in_flight: f64) -> f64 {
     HEADROOM_FACTOR * in_flight + HEADROOM_ATTEMPTS
 }
--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -1,4 +1,4 @@
-//! The concurrency limits of all endpoints, and the limit on all attempts together.
+//! Concurrency limits per endpoint, and the total limit across all endpoints.
 
 use std::time::Duration;
 
@@ -7,46 +7,45 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, fractional_micros};
 
-/// Attempts that may be in flight at first, before the limit adapts: at an endpoint that has run
-/// for long, …
+/// Initial limit of an endpoint that has already warmed up.
 const INITIAL_LIMIT: f64 = 6.0;
-/// … at one that returns to service after an ejection.
+/// Initial limit of an endpoint that returns to service after an ejection.
 const LIMIT_AFTER_EJECTION: f64 = 2.0;
-/// … and at one that warms up.
+/// Initial limit of a warming endpoint.
 const WARMING_LIMIT: f64 = 1.0;
-/// Attempts from all instances together that each endpoint in service takes under any congestion:
-/// with fewer, slow endpoints would idle.
+/// Lower bound of the total limit, per endpoint in service and summed over all instances. With
+/// fewer attempts in flight, slow endpoints would idle.
 const MIN_ATTEMPTS_PER_ENDPOINT: f64 = 2.0;
-/// Time-outs are caused by the load of the fleet while more than one response in this number is
-/// slow.
+/// Timeouts are attributed to the load of the whole fleet while more than one in this many
+/// responses is slow.
 const OVERLOAD_RESPONSES_PER_SLOW: f64 = 10.0;
 
-/// The end of an attempt as far as concurrency limits depend on it.
+/// Result of an attempt, with the data that the concurrency limits need.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyObservation {
-    /// The endpoint.
+    /// Endpoint to which the attempt was sent.
     pub(crate) endpoint: EndpointIndex,
-    /// This instance's attempts in flight there.
+    /// Number of this instance's attempts in flight at the endpoint.
     pub(crate) endpoint_in_flight: f64,
     /// How the attempt ended.
     pub(crate) outcome: AttemptOutcome,
-    /// How long it took.
+    /// Time from sending the attempt to its end.
     pub(crate) latency: Duration,
-    /// The latency objective of its route.
+    /// Latency objective of the route.
     pub(crate) objective: Duration,
 }
 
-/// All concurrency limits of an instance.
+/// The concurrency limits of an instance.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimits {
     endpoints: IndexedTable<EndpointIndex, ConcurrencyLimit>,
     total: ConcurrencyLimit,
-    /// Attempts in flight that count towards the limit on all attempts.
+    /// Number of attempts in flight that count towards the total limit.
     in_flight: f64,
 }
 
 impl ConcurrencyLimits {
-    /// Without any endpoint yet, and with no limit on all attempts.
+    /// Creates an empty set of limits; the total is unlimited at first.
     pub(crate) fn new() -> ConcurrencyLimits {
         ConcurrencyLimits {
             endpoints: IndexedTable::default(),
@@ -55,12 +54,12 @@
         }
     }
 
-    /// A new endpoint has taken this index.
+    /// Adds an endpoint that admits no attempts until its process is known.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.endpoints.put(index, ConcurrencyLimit::new(0.0));
     }
 
-    /// Another process runs at an endpoint.
+    /// Resets the limit of an endpoint at which a new process runs.
     pub(crate) fn start_process(&mut self, index: EndpointIndex, warms_up: bool) {
         let limit = if warms_up {
             WARMING_LIMIT
@@ -70,43 +69,44 @@
         self.endpoints[index] = ConcurrencyLimit::new(limit);
     }
 
-    /// An endpoint has returned to service after an ejection.
+    /// Resets the limit of an endpoint that has returned to service after an ejection.
     pub(crate) fn return_to_service(&mut self, index: EndpointIndex) {
         self.endpoints[index] = ConcurrencyLimit::new(LIMIT_AFTER_EJECTION);
     }
 
-    /// Whether one more attempt is within the limit of an endpoint.
+    /// Returns whether the limit of an endpoint allows one more attempt.
     pub(crate) fn admits_at(&self, index: EndpointIndex, in_flight: f64) -> bool {
         self.endpoints[index].admits(in_flight)
     }
 
-    /// Whether one more attempt is within the limit on all attempts.
+    /// Returns whether the total limit allows one more attempt.
     pub(crate) fn admits(&self) -> bool {
         self.total.admits(self.in_flight)
     }
 
-    /// More than half of all responses took too large a share of their latency objective.
+    /// Returns whether more than half of all responses are slow for their latency objective.
     pub(crate) fn is_congested(&self) -> bool {
         self.total.is_congested()
     }
 
-    /// The fleet is so slow that a time-out does not make its endpoint less likely to be chosen.
+    /// Returns whether the fleet as a whole is overloaded, in which case a timeout does not count
+    /// against its endpoint.
     pub(crate) fn fleet_is_overloaded(&self) -> bool {
         self.total.exceeds_one_slow_per(OVERLOAD_RESPONSES_PER_SLOW)
     }
 
-    /// An attempt has been sent.
+    /// Counts an attempt that has been sent.
     pub(crate) fn start_attempt(&mut self) {
         self.in_flight += 1.0;
     }
 
-    /// Sets how many attempts in flight count towards the limit on all attempts.
+    /// Sets the number of attempts in flight that count towards the total limit.
     pub(crate) fn set_in_flight(&mut self, in_flight: f64) {
         self.in_flight = in_flight;
     }
 
-    /// Adapts the limits to the end of an attempt. An instance with little traffic learns from all
-    /// of its attempts together.
+    /// Adapts the limits to the result of an attempt. The total limit learns from the attempts at
+    /// all endpoints, which gives an instance with little traffic enough samples.
     pub(crate) fn record(&mut self, observed: &LatencyObservation, context: &StepContext) {
         let shows_load = matches!(
             observed.outcome,
@@ -135,13 +135,14 @@
         }
     }
 
-    /// Lowers the limit on all attempts to near what is in use.
+    /// Lowers the total limit towards the number of attempts in flight.
     pub(crate) fn lower_idle_limit(&mut self) {
         self.total.lower_idle_limit(self.in_flight);
     }
 
-    /// Keeps the limit on all attempts at this instance's share of what endpoints take under any
-    /// congestion. After a stall there is no limit, because a stall looks like congestion.
+    /// Keeps the total limit at or above this instance's share of [`MIN_ATTEMPTS_PER_ENDPOINT`].
+    /// After a stall of this instance the limit is lifted, because the latencies that a stall
+    /// inflates look like congestion.
     pub(crate) fn enforce_minimum(&mut self, endpoints_in_service: usize, context: &StepContext) {
         let instances = f64::from(context.settings.instance_count);
         let minimum = if context.stalled {
--- a/crates/policy/src/admission/load_shedding.rs
+++ b/crates/policy/src/admission/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: which requests are rejected or failed because they cannot be answered in time.
+//! Load shedding: decides which requests are rejected or failed because they cannot be answered in
+//! time.
 
 use std::time::Duration;
 
@@ -7,24 +8,24 @@
 use crate::step_context::StepContext;
 use crate::types::whole_micros;
 
-/// What to do with a request for which another attempt may be made.
+/// Decision on a request that is waiting for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// Look for an endpoint.
+    /// Choose an endpoint and send an attempt.
     Serve,
-    /// Nothing: an attempt in flight may still succeed.
+    /// Send nothing; an attempt in flight may still succeed.
     AwaitAttempt,
-    /// Reject it; its client may send it again without harm.
+    /// Reject the request; the client may safely retry it.
     Reject {
-        /// When the client should send it again.
+        /// Delay after which the client should retry.
         retry_after: Duration,
     },
-    /// Fail it; it may have been executed.
+    /// Fail the request; a retry by the client is not safe, since it may have been executed.
     Fail,
 }
 
-/// Decides on a request for which another attempt may be made. It is given up once it is likely to
-/// miss its latency objective or once no endpoint may take it.
+/// Decides whether a waiting request is served. No further attempt is made once the request is
+/// likely to miss its latency objective or no endpoint may receive it.
 pub(crate) fn decide_admission(
     request: &Request,
     expected: Option<LatencyEstimate>,
@@ -52,9 +53,9 @@
     }
 }
 
-/// The time that an attempt is expected to need with some reserve, and at most half the objective:
-/// otherwise congestion would have every request rejected on arrival, and no latency would be
-/// measured any more.
+/// Returns the time to reserve for an attempt: 1.5 times the expected latency, capped at half the
+/// objective. Without the cap, congestion could cause every request to be rejected on arrival, and
+/// no further latency would be measured.
 fn required_time(expected: Option<LatencyEstimate>, objective: Duration) -> Duration {
     let expected = expected.map_or(0, |expected| expected.as_micros() as u64);
     Duration::from_micros((expected * 3 / 2).min(whole_micros(objective) / 2))
--- a/crates/policy/src/admission/priority.rs
+++ b/crates/policy/src/admission/priority.rs
@@ -1,25 +1,25 @@
-//! Costs and priorities of requests.
+//! Request costs and priorities.
 
 use crate::latency::LatencyEstimate;
 use crate::settings::Route;
 use crate::types::fractional_micros;
 
-/// The highest priority seen decays by this factor with each request, so that it can fall again.
+/// Decay per request of the highest recorded priority, so that the scale adapts downwards too.
 const HIGHEST_PRIORITY_DECAY: f64 = 0.99;
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 
-/// How much work a request is, and what its answer is worth by that.
+/// Amount of work that a request causes, and the value of its response for prioritization.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RequestCost {
-    /// As hinted by the client, or the latency objective in milliseconds: clients allow longer
-    /// requests more time.
+    /// The client's cost hint, or else the latency objective in milliseconds, on the assumption
+    /// that clients allow more time for longer requests.
     pub(crate) cost: f64,
-    /// The cost hint, or 1 without one. It multiplies the priority weight of the route.
+    /// Multiplier of the route's priority weight: the cost hint, or 1 without one.
     pub(crate) value: f64,
 }
 
 impl RequestCost {
-    /// The cost of a request of this route.
+    /// Returns the cost of a request; cost hints that are not positive are ignored.
     pub(crate) fn new(route: &Route, cost_hint: Option<f64>) -> RequestCost {
         let objective_millis = fractional_micros(route.latency_objective) / MICROS_PER_MILLISECOND;
         match cost_hint.filter(|hint| *hint > 0.0) {
@@ -35,18 +35,20 @@
     }
 }
 
-/// The scale on which the priorities of requests are compared.
+/// Converts the priorities of requests to levels relative to the highest recent priority.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityScale {
-    /// The highest priority that a request has had lately.
+    /// Highest recent priority, decayed by [`HIGHEST_PRIORITY_DECAY`] per request.
     highest: f64,
 }
 
 impl PriorityScale {
-    /// The priority level of a request: steps of two below the highest priority.
+    /// Returns the priority level of a request: the rounded binary logarithm of its priority
+    /// relative to the highest recent one.
     ///
-    /// Its priority is its value per expected time. Levels are steps of two, because under
-    /// congestion the lower one of two routes with nearly equal priorities would starve otherwise.
+    /// The priority is the request's weighted value per unit of expected latency. Levels are a
+    /// factor of two apart, because otherwise the lower of two nearly equal priorities would
+    /// starve under congestion.
     pub(crate) fn level(
         &mut self,
         route: &Route,
