--- a/crates/policy/src/requests.rs
+++ b/crates/policy/src/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests and the life of their attempts.
+//! Open requests and the states of their attempts.
 
 mod attempt;
 mod request;
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -3,47 +3,48 @@
 use crate::endpoints::Process;
 use crate::types::{EndpointIndex, Timestamp};
 
-/// State of an attempt while nothing of a response has arrived.
+/// State of an attempt whose response has not begun to arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AwaitingResponse {
-    /// Its response may be lost: a hedged request may be sent beside it.
+    /// Its response may be lost, so a hedged request may be sent in parallel.
     pub(crate) hedge_due: bool,
-    /// It has been recorded as evidence already: it took too long, or its request is finished.
+    /// It must not be recorded as evidence any more, because it was recorded when it exceeded its
+    /// time limit, or because its request is finished.
     pub(crate) evidence_recorded: bool,
 }
 
-/// The life of an attempt.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
-    /// Sent, and nothing of a response has arrived.
+    /// It has been sent, and no part of a response has arrived.
     AwaitingResponse(AwaitingResponse),
-    /// Its response streams to the client, and no time limit applies any more.
+    /// Its response is streaming to the client; no time limit applies any more.
     Streaming { evidence_recorded: bool },
     /// It has ended.
     Finished { may_have_executed: bool },
 }
 
-/// Conditions under which an attempt was sent; they decide with what its outcome can be compared.
+/// Conditions at the time an attempt was sent, which determine the outcomes it is compared with.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct AttemptConditions {
-    /// The endpoint had run for long enough to be judged.
+    /// The endpoint had been running long enough for its outcomes to count.
     pub(crate) past_start_up: bool,
-    /// The endpoint had its full capacity.
+    /// The endpoint had warmed up to its full capacity.
     pub(crate) warm: bool,
-    /// Requests in flight at the endpoint.
+    /// Estimated number of requests in flight at the endpoint.
     pub(crate) endpoint_load: f64,
     /// The other arm of the evaluation had an endpoint in service.
     pub(crate) has_concurrent_baseline: bool,
-    /// The fleet could be compared with what it was before the rollout.
+    /// The fleet was comparable with its baseline from before the rollout.
     pub(crate) comparable_to_baseline: bool,
 }
 
 /// One attempt of a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// The endpoint.
+    /// Endpoint to which it was sent.
     pub(crate) endpoint: EndpointIndex,
-    /// The process that ran there when the attempt was sent.
+    /// Process that ran at the endpoint when the attempt was sent.
     pub(crate) process: Process,
     /// When it was sent.
     pub(crate) sent_at: Timestamp,
@@ -53,7 +54,7 @@
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent at `now`.
     pub(crate) fn new(
         endpoint: EndpointIndex,
         process: Process,
@@ -69,22 +70,22 @@
         }
     }
 
-    /// It has not ended.
+    /// Returns whether it has not ended.
     pub(crate) fn in_flight(&self) -> bool {
         !matches!(self.state, AttemptState::Finished { .. })
     }
 
-    /// A hedged request may be sent beside it.
+    /// Returns whether a hedged request may be sent in parallel.
     pub(crate) fn hedge_due(&self) -> bool {
         matches!(self.state, AttemptState::AwaitingResponse(waiting) if waiting.hedge_due)
     }
 
-    /// It is in flight, and no other attempt of its request may be made meanwhile.
+    /// Returns whether it is in flight and prevents another attempt of its request.
     pub(crate) fn blocks_request(&self) -> bool {
         self.in_flight() && !self.hedge_due()
     }
 
-    /// The endpoint executed the request, or may have.
+    /// Returns whether the endpoint may have executed the request.
     pub(crate) fn may_have_executed(&self) -> bool {
         match self.state {
             AttemptState::Finished { may_have_executed } => may_have_executed,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// It has been recorded as evidence.
+    /// Returns whether it is no longer to be recorded as evidence.
     pub(crate) fn evidence_recorded(&self) -> bool {
         match self.state {
             AttemptState::AwaitingResponse(waiting) => waiting.evidence_recorded,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Its response has begun to stream to the client.
+    /// Marks the response as streaming to the client.
     pub(super) fn start_streaming(&mut self) {
         if let AttemptState::AwaitingResponse(waiting) = self.state {
             let evidence_recorded = waiting.evidence_recorded;
@@ -109,12 +110,12 @@
         }
     }
 
-    /// It has ended.
+    /// Marks the attempt as ended.
     pub(super) fn finish(&mut self, may_have_executed: bool) {
         self.state = AttemptState::Finished { may_have_executed };
     }
 
-    /// Its state while nothing of a response has arrived.
+    /// Returns its state if its response has not begun to arrive.
     pub(super) fn awaiting_response_mut(&mut self) -> Option<&mut AwaitingResponse> {
         match &mut self.state {
             AttemptState::AwaitingResponse(waiting) => Some(waiting),
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -1,58 +1,61 @@
-//! One open request.
+//! State of a single open request.
 
 use super::Attempt;
 use crate::types::{AttemptIndex, EndpointIndex, RouteIndex, Timestamp};
 
-/// One open request. Only [`RequestTable`](super::RequestTable) changes it.
+/// An open request. Only [`RequestTable`](super::RequestTable) modifies it.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     /// Its route.
     pub(crate) route: RouteIndex,
     /// The client's idempotency key.
     pub(crate) idempotency_key: Option<String>,
-    /// How much work it is: as hinted, or the route's latency objective in milliseconds.
+    /// Amount of work: the client's cost hint, or else the route's latency objective in
+    /// milliseconds.
     pub(crate) cost: f64,
     /// When it arrived.
     pub(crate) arrived_at: Timestamp,
-    /// Until when its client waits.
+    /// When its client stops waiting, or earlier if this instance shuts down before.
     pub(crate) deadline: Timestamp,
-    /// Until when an answer counts in full.
+    /// When its latency objective ends; never later than `deadline`.
     pub(crate) objective_deadline: Timestamp,
-    /// Steps of two below the highest priority; requests of higher levels are served first.
+    /// Binary logarithm of its priority relative to the highest one; requests with a higher level
+    /// are served first.
     pub(crate) priority_level: i32,
-    /// Its client has its answer or has disconnected.
+    /// The client has received a response or has disconnected.
     pub(crate) finished: bool,
-    /// The endpoint that reset the connection of its last attempt, until a health check shows
-    /// whether the endpoint still runs.
+    /// Endpoint that reset the connection of its last attempt; set until a health check shows
+    /// whether the endpoint is still running.
     pub(crate) crash_suspect: Option<EndpointIndex>,
-    /// The endpoint of its attempt crashed and is down: the request may crash the next one too.
+    /// The endpoint of its last attempt is down after a suspected crash, so the request is not sent
+    /// to another endpoint, which it might crash too.
     pub(crate) query_of_death: bool,
-    /// Its attempts, by index.
+    /// Its attempts, indexed by [`AttemptIndex`].
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// The attempt at this index.
+    /// Returns the attempt at an index.
     pub(crate) fn attempt(&self, index: AttemptIndex) -> Option<&Attempt> {
         self.attempts.get(index.get())
     }
 
-    /// One of its attempts has not ended.
+    /// Returns whether any of its attempts has not ended.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::in_flight)
     }
 
-    /// It is open, and another attempt may be made now.
+    /// Returns whether it is unfinished and no attempt prevents another one.
     pub(crate) fn awaits_attempt(&self) -> bool {
         !self.finished && !self.attempts.iter().any(Attempt::blocks_request)
     }
 
-    /// It is finished, and none of its attempts is in flight.
+    /// Returns whether it is finished and has no attempt in flight.
     pub(crate) fn is_done(&self) -> bool {
         self.finished && !self.has_attempt_in_flight()
     }
 
-    /// Attempts that may have executed it, except for `ignored`.
+    /// Returns the attempts that may have executed the request, except for `ignored`.
     pub(crate) fn possibly_executed_attempts(
         &self,
         ignored: Option<AttemptIndex>,
@@ -65,19 +68,19 @@
             .filter(|attempt| attempt.may_have_executed())
     }
 
-    /// One of its attempts executed it, or may have.
+    /// Returns whether any of its attempts may have executed it.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_executed)
     }
 
-    /// It has been sent to this endpoint.
+    /// Returns whether it has been sent to an endpoint.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// It refers to this endpoint.
+    /// Returns whether it refers to an endpoint by an attempt or as a crash suspect.
     pub(super) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
         self.was_sent_to(endpoint) || self.crash_suspect == Some(endpoint)
     }
--- a/crates/policy/src/requests/table.rs
+++ b/crates/policy/src/requests/table.rs
@@ -1,6 +1,6 @@
 //! The table of open requests with their attempts.
 //!
-//! A request stays until it is finished and none of its attempts is in flight.
+//! A request is removed once it is finished and none of its attempts is in flight.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     Timestamp,
 };
 
-/// The order in which requests are served: by priority, and the newest first.
+/// Sort key for serving requests: higher priority levels first, then the newest request first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ServingOrder {
     priority_level: Reverse<i32>,
@@ -19,12 +19,12 @@
     id: RequestId,
 }
 
-/// An attempt of whose response nothing has arrived, with the data of its request.
+/// An attempt whose response has not begun to arrive, with data of its request.
 #[derive(Debug)]
 pub(crate) struct WaitingAttempt<'a> {
-    /// Which attempt it is.
+    /// Id of the attempt.
     pub(crate) id: AttemptId,
-    /// The endpoint to which it was sent.
+    /// Endpoint to which it was sent.
     pub(crate) endpoint: EndpointIndex,
     /// When it was sent.
     pub(crate) sent_at: Timestamp,
@@ -32,7 +32,7 @@
     pub(crate) route: RouteIndex,
     /// Cost of the request.
     pub(crate) cost: f64,
-    /// The client has its answer or has disconnected.
+    /// The client has received a response or has disconnected.
     pub(crate) request_finished: bool,
     /// It is the only attempt of its request.
     pub(crate) is_only_attempt: bool,
@@ -40,19 +40,19 @@
     pub(crate) state: &'a mut AwaitingResponse,
 }
 
-/// All open requests by id.
+/// The open requests by id.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     by_id: BTreeMap<RequestId, Request>,
 }
 
 impl RequestTable {
-    /// Adds a request.
+    /// Adds a request under its id.
     pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
         self.by_id.insert(id, request);
     }
 
-    /// The request of this id.
+    /// Returns the request with an id.
     pub(crate) fn get(&self, id: RequestId) -> Option<&Request> {
         self.by_id.get(&id)
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The response to an attempt has begun to stream to the client.
+    /// Marks the response to an attempt as streaming to the client.
     pub(crate) fn start_streaming(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempt_mut(id) {
             attempt.start_streaming();
@@ -76,7 +76,8 @@
         request.attempts.get_mut(id.index.get())
     }
 
-    /// Records the end of an attempt. Returns the attempt as it was before, if it was in flight.
+    /// Records the end of an attempt that is in flight and returns its previous state. Returns
+    /// `None` if the attempt is unknown or has already ended.
     pub(crate) fn finish_attempt(
         &mut self,
         id: AttemptId,
@@ -94,7 +95,7 @@
         Some(before)
     }
 
-    /// The client has its answer or has disconnected.
+    /// Marks a request as finished: the client has received a response or has disconnected.
     pub(crate) fn finish(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.finished = true;
@@ -102,14 +103,15 @@
         }
     }
 
-    /// The connection of the request's last attempt was reset: its endpoint may have crashed.
+    /// Records that the endpoint of a request's last attempt may have crashed, since it reset the
+    /// connection.
     pub(crate) fn suspect_crash(&mut self, id: RequestId, endpoint: EndpointIndex) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.crash_suspect = Some(endpoint);
         }
     }
 
-    /// A health check has shown whether an endpoint runs that was suspected to have crashed.
+    /// Applies the result of a health check to the requests that suspect the endpoint of a crash.
     pub(crate) fn resolve_crash_suspicion(&mut self, endpoint: EndpointIndex, is_down: bool) {
         for request in self.by_id.values_mut() {
             if request.crash_suspect == Some(endpoint) {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// No request may be answered later than `deadline`.
+    /// Limits the deadlines of all requests to `deadline`.
     pub(crate) fn limit_deadlines(&mut self, deadline: Timestamp) {
         for request in self.by_id.values_mut() {
             request.deadline = request.deadline.min(deadline);
@@ -127,7 +129,7 @@
         }
     }
 
-    /// All attempts of whose responses nothing has arrived.
+    /// Returns all attempts whose response has not begun to arrive.
     pub(crate) fn awaiting_response(&mut self) -> impl Iterator<Item = WaitingAttempt<'_>> {
         self.by_id.iter_mut().flat_map(|(id, request)| {
             let id = *id;
@@ -151,7 +153,7 @@
         })
     }
 
-    /// Ids of the requests for which another attempt may be made, in the order of serving.
+    /// Returns the ids of the requests that await an attempt, in the order of serving.
     pub(crate) fn awaiting_attempt(&self) -> Vec<RequestId> {
         let waiting = self
             .by_id
@@ -168,8 +170,8 @@
         order.into_iter().map(|waiting| waiting.id).collect()
     }
 
-    /// The next time after `now` at which a request that has no attempt in flight misses its
-    /// latency objective.
+    /// Returns the earliest time after `now` at which a request without an attempt in flight misses
+    /// its latency objective.
     pub(crate) fn next_missed_objective(&self, now: Timestamp) -> Option<Timestamp> {
         let requests = self.by_id.values();
         let waiting =
@@ -178,7 +180,8 @@
         deadlines.filter(|deadline| *deadline > now).min()
     }
 
-    /// An attempt in flight whose request is open and whose client still waits.
+    /// Returns an attempt with its request, provided that the attempt is in flight, the request is
+    /// unfinished, and its deadline has not passed.
     pub(crate) fn live_attempt(
         &self,
         id: AttemptId,
@@ -190,7 +193,7 @@
         is_live.then_some((request, attempt))
     }
 
-    /// The latest build to which a request with this idempotency key is being sent.
+    /// Returns the latest build that has an attempt with this idempotency key in flight.
     pub(crate) fn latest_build_in_flight(&self, key: &str) -> Option<BuildNumber> {
         let requests = self.by_id.values();
         let same_key = requests.filter(|other| other.idempotency_key.as_deref() == Some(key));
@@ -199,12 +202,12 @@
         in_flight.map(|attempt| attempt.process.build).max()
     }
 
-    /// Number of requests.
+    /// Returns the number of requests in the table.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// No request is open.
+    /// Returns whether the table is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Whether a request refers to this endpoint.
+    /// Returns whether any request refers to an endpoint.
     pub(crate) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
         self.by_id
             .values()
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,29 +1,30 @@
-//! Retries: which request may be sent again (rule 2: no request is executed twice unless that is
-//! harmless), when an attempt has timed out, and when a hedged request may be sent beside it.
+//! Retries and hedging: whether a request may be sent again (rule 2: no request is executed twice
+//! unless that is harmless), when an attempt times out, and when a hedged request is due.
 //!
-//! A request is sent to a second endpoint
+//! A request is sent to a second endpoint in these cases:
 //!
-//! - after an attempt that was certainly not executed: refused, rejected under load, or not sent,
-//! - after any other attempt that has ended, where `idempotency` allows it. After a reset
-//!   connection a health check must first show that the request has not crashed its endpoint; if it
-//!   has, the request is a query of death and is not sent again, or
-//! - beside its only attempt, whose response may be lost (a hedged request, under the same rules):
-//!   older than half its latency objective and than `HEDGE_FACTOR` = 4 times its baseline latency,
-//!   where the settings `hedging` and `cancel_attempts` allow it, `MIN_HEDGE_RESPONSES` = 100
-//!   responses are known, and there was no congestion (`timeouts`).
+//! - An attempt was certainly not executed: it was refused, rejected under load, or not sent.
+//! - An attempt ended in any other way, and `idempotency` allows a retry. After a connection reset,
+//!   a health check must first show that the request has not crashed the endpoint. If the endpoint
+//!   is down, the request is treated as a query of death and not sent again.
+//! - A hedged request is due because the response to the only attempt may be lost, and the rules
+//!   above allow it. The attempt must be older than half its latency objective and older than
+//!   `HEDGE_FACTOR` = 4 times its baseline latency, the settings `hedging` and `cancel_attempts`
+//!   must be on, `MIN_HEDGE_RESPONSES` = 100 responses must be known, and there must be no
+//!   congestion at that time (`timeouts`).
 //!
-//! It is not sent again
+//! A request is not sent again in these cases:
 //!
-//! - while an attempt is in flight for which no hedged request is due,
-//! - after `max_attempts` attempts,
-//! - if it is not idempotent and an attempt may have executed it, or its idempotency key has
-//!   expired or is not known to the other endpoint (`idempotency`), or
-//! - where the setting `monotonic_key_builds` is on, to an earlier build than the latest one that
-//!   has answered its idempotency key or is being sent it, unless the newest build is being taken
-//!   out (`key_builds`).
+//! - An attempt is in flight for which no hedged request is due.
+//! - It has already had `max_attempts` attempts.
+//! - It is not idempotent and an attempt may have executed it, or its idempotency key has expired
+//!   or is not known to the other endpoint (`idempotency`).
+//! - The setting `monotonic_key_builds` is on, and the endpoint runs an earlier build than the
+//!   latest one that has answered the idempotency key or has an attempt with it in flight. This
+//!   does not apply while the newest build is being rolled back (`key_builds`).
 //!
-//! A client that sends its request again makes a new request. Of idempotency keys, only the builds
-//! that answered them are remembered beyond one request.
+//! A retry by the client is a new request. The only state about idempotency keys that outlives a
+//! request is the latest build that answered each key.
 
 mod idempotency;
 mod key_builds;
--- a/crates/policy/src/retries/idempotency.rs
+++ b/crates/policy/src/retries/idempotency.rs
@@ -1,8 +1,10 @@
-//! Whether a request may be sent to an endpoint without the risk of a second effect (rule 2).
+//! Decides whether a request may be sent to an endpoint without a risk of duplicate side effects
+//! (rule 2).
 //!
-//! - An idempotent request may be sent again anywhere.
-//! - A request with an idempotency key may be sent again while, for each earlier attempt that may
-//!   have executed it, the window has not passed and the endpoint shares that attempt's keys.
+//! - An idempotent request may be sent to any endpoint again.
+//! - A request with an idempotency key may be sent again if, for every earlier attempt that may
+//!   have executed it, the deduplication window is still open and the endpoint shares idempotency
+//!   keys with the endpoint of that attempt.
 //! - Any other request may be sent again only if no earlier attempt can have executed it.
 
 use crate::endpoints::{Endpoint, EndpointTable};
@@ -11,7 +13,7 @@
 use crate::step_context::StepContext;
 use crate::types::AttemptIndex;
 
-/// Whether another attempt of a request may be sent to an endpoint.
+/// Returns whether another attempt of a request may be sent to an endpoint.
 pub(crate) fn may_attempt(
     request: &Request,
     endpoint: &Endpoint,
@@ -28,8 +30,8 @@
         && replay.is_allowed(endpoints, context)
 }
 
-/// Whether an attempt that is about to be written may still execute its request, with regard to all
-/// other attempts of it.
+/// Returns whether an attempt may still be written to its connection, given all other attempts of
+/// the same request.
 pub(crate) fn may_write(
     request: &Request,
     attempt: AttemptIndex,
@@ -47,11 +49,11 @@
     replay.is_allowed(endpoints, context)
 }
 
-/// A request that would be executed at an endpoint.
+/// A possible repeated execution of a request at an endpoint.
 struct Replay<'a> {
     request: &'a Request,
     endpoint: &'a Endpoint,
-    /// The attempt that is about to be written is no earlier execution.
+    /// Attempt that does not count as an earlier execution, because it has yet to be written.
     ignored_attempt: Option<AttemptIndex>,
 }
 
@@ -71,8 +73,8 @@
     }
 }
 
-/// Whether an endpoint knows the idempotency keys that an attempt has brought to another one. If
-/// that one has been started anew since, it may have moved to another group.
+/// Returns whether an endpoint shares idempotency keys with the endpoint of an earlier attempt. If
+/// the earlier endpoint has restarted since, it may now belong to another zone or cell.
 fn shares_keys(
     scope: KeyScope,
     attempt: &Attempt,
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -1,5 +1,5 @@
-//! Builds that have answered idempotency keys, for deployments where a key that a later build has
-//! answered must not go back to an earlier one.
+//! Latest build that answered each idempotency key, for deployments in which a key must not be sent
+//! to an earlier build than one that has already answered it.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,27 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, BuildNumber};
 
-/// The end of an attempt, by which a build may have answered a key.
+/// Result of an attempt with which a build may have answered an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleAnswer {
-    /// The build to which the attempt was sent.
+    /// Build to which the attempt was sent.
     pub(crate) build: BuildNumber,
     /// How the attempt ended.
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// The latest build that has answered each idempotency key.
+/// Maps each idempotency key to the latest build that has answered it.
 ///
-/// Bounded by [`KeyBuilds::forget_expired`]: a key is dropped once no earlier build is listed.
+/// [`KeyBuilds::forget_expired`] bounds its size: a key is dropped once no endpoint with an earlier
+/// build is listed.
 #[derive(Debug, Default)]
 pub(crate) struct KeyBuilds {
     by_key: BTreeMap<String, BuildNumber>,
 }
 
 impl KeyBuilds {
-    /// Records which build may have answered the key of a request, even if the answer was lost on
-    /// its way. A late answer of an earlier build changes nothing.
+    /// Records the build that may have answered the key of a request, even if its response was lost
+    /// in transit. A late response from an earlier build has no effect.
     pub(crate) fn record(
         &mut self,
         request: &Request,
@@ -51,8 +52,9 @@
         }
     }
 
-    /// The lowest build to which a request may be sent: the latest one that has answered its key,
-    /// or to which it is being sent, which may answer before this instance learns of it.
+    /// Returns the lowest build to which a request may be sent: the latest one that has answered
+    /// its key or has an attempt with the key in flight. Attempts in flight count because their
+    /// build may answer before this instance receives the response.
     pub(crate) fn lowest_build(
         &self,
         request: &Request,
@@ -67,31 +69,31 @@
         self.get(key).max(in_flight).unwrap_or_default()
     }
 
-    /// Restores an entry from a snapshot: an instance that had forgotten it could send the key back
-    /// to an earlier build.
+    /// Restores an entry from a snapshot. Without it, the key could be sent to an earlier build
+    /// after a restart of this instance.
     pub(crate) fn restore(&mut self, key: &str, build: BuildNumber, context: &StepContext) {
         if context.settings.monotonic_key_builds {
             self.by_key.insert(key.into(), build);
         }
     }
 
-    /// The latest build that has answered a key.
+    /// Returns the latest build that has answered a key.
     pub(crate) fn get(&self, key: &str) -> Option<BuildNumber> {
         self.by_key.get(key).copied()
     }
 
-    /// All keys with the latest build that has answered each.
+    /// Returns all keys with the latest build that has answered each.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, BuildNumber)> {
         let keys = self.by_key.iter();
         keys.map(|(key, build)| (key.as_str(), *build))
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub(crate) fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Drops keys that can no longer go back to an earlier build.
+    /// Drops keys that cannot be sent to an earlier build, because none is listed.
     pub(crate) fn forget_expired(&mut self, endpoints: &EndpointTable) {
         if let Some(oldest) = endpoints.oldest_listed_build() {
             self.by_key.retain(|_, build| *build > oldest);
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time-outs of attempts, and when a hedged request may be sent beside one.
+//! Timeouts of attempts, and the conditions for a hedged request.
 
 use std::time::Duration;
 
@@ -9,45 +9,46 @@
 use crate::step_context::StepContext;
 use crate::types::{RouteIndex, Timestamp, fractional_micros};
 
-/// An attempt has failed that takes longer than this multiple of its latency objective.
+/// An attempt that takes longer than this multiple of its latency objective counts as failed.
 const TIME_LIMIT_FACTOR: u32 = 2;
-/// The response of a first attempt may be lost, and a hedged request stays due from then on even
-/// under congestion, once it has taken this multiple of the baseline latency, and half its latency
-/// objective.
+/// A hedged request becomes due once the only attempt of a request has taken longer than this
+/// multiple of its baseline latency and longer than half its latency objective, since its response
+/// may be lost. The hedged request then stays due even if congestion sets in.
 const HEDGE_FACTOR: f64 = 4.0;
-/// Responses that must be known for that: the quick ones come first.
+/// Number of responses that must be known before requests are hedged. The first responses to arrive
+/// are the fast ones, which bias the baseline latency downwards.
 const MIN_HEDGE_RESPONSES: f64 = 100.0;
 
-/// Whether an attempt of this age counts as failed, even if a response arrives later.
+/// Returns whether an attempt of this age counts as failed, even if a response arrives later.
 pub(crate) fn exceeds_time_limit(age: Duration, objective: Duration) -> bool {
     age > objective.saturating_mul(TIME_LIMIT_FACTOR)
 }
 
-/// What the age of an attempt means for it.
+/// Consequences of the age of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimeoutCheck {
-    /// Its endpoint has not responded to anything since it was sent, and it has passed its latency
-    /// objective.
+    /// The attempt has exceeded its latency objective, and its endpoint has not responded to any
+    /// attempt since this one was sent.
     pub(crate) endpoint_is_unresponsive: bool,
-    /// It counts towards the limit on all attempts in flight.
+    /// The attempt counts towards the total concurrency limit.
     pub(crate) counts_as_in_flight: bool,
-    /// It has to be recorded as timed out.
+    /// The attempt must be recorded as timed out.
     pub(crate) has_timed_out: bool,
-    /// It has to be cancelled: its request is finished.
+    /// The attempt must be cancelled, because its request is finished.
     pub(crate) must_be_cancelled: bool,
 }
 
-/// The time limits of attempts as of one step.
+/// Checks attempts against the time limits of the current step.
 pub(crate) struct AttemptTimeouts<'a> {
     settings: &'a Settings,
     now: Timestamp,
-    /// Baseline latency of each route for one unit of cost.
+    /// Expected latency of each route per unit of cost.
     expected_per_cost: IndexedTable<RouteIndex, LatencyEstimate>,
     hedging_allowed: bool,
 }
 
 impl<'a> AttemptTimeouts<'a> {
-    /// Reads the present latencies.
+    /// Creates the checks for the current step from the current latency estimates.
     pub(crate) fn new(
         latency: &mut LatencyModel,
         is_congested: bool,
@@ -55,7 +56,7 @@
     ) -> AttemptTimeouts<'a> {
         let expected_per_cost = latency.expected_per_cost(context.now);
         let settings = &context.settings;
-        // Hedged requests add load, and are only of use if the first attempt can be cancelled.
+        // Hedged requests add load and only help if the first attempt can be cancelled.
         let is_enabled = settings.cancel_attempts && settings.hedging;
         let has_enough_responses = latency.known_responses() >= MIN_HEDGE_RESPONSES;
         AttemptTimeouts {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Decides what the age of an attempt means for it, and notes in its state that a hedged
-    /// request is due or that it is recorded as evidence.
+    /// Determines the consequences of the age of an attempt, and updates its state when a hedged
+    /// request becomes due or when it must not be recorded as evidence again.
     pub(crate) fn check(
         &self,
         attempt: &mut WaitingAttempt<'_>,
@@ -77,7 +78,7 @@
         let age = self.now - attempt.sent_at;
         let is_late = exceeds_time_limit(age, objective);
         let is_unresponsive = last_response_at <= attempt.sent_at;
-        // An attempt at a silent endpoint keeps others from being sent for a shorter time.
+        // An attempt at an unresponsive endpoint occupies the total limit for a shorter time.
         let counted_until = if is_unresponsive {
             objective / 2
         } else {
