--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: which endpoint an attempt is sent to.
+//! Routing: selects the endpoint for each attempt.
 
 mod candidates;
 mod selector;
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -1,8 +1,9 @@
-//! Choice of an endpoint.
+//! Endpoint selection.
 //!
-//! A warming endpoint with slow-start credit comes first. Otherwise two warm endpoints are drawn at
-//! random, and the one with the lower cost is taken (power of two choices). The cost is the load
-//! relative to the hardware class times the slowdown, and a price for crossing zones.
+//! A warming endpoint with slow-start credit is chosen first. Otherwise two warm endpoints are
+//! sampled at random, and the one with the lower cost is chosen (power of two choices). The cost is
+//! the product of the load relative to the hardware class, the slowdown, and a factor for
+//! cross-zone traffic.
 
 use std::collections::BTreeMap;
 
@@ -22,42 +23,43 @@
 use crate::types::{BuildNumber, EndpointIndex, HardwareClassIndex, RouteIndex};
 use crate::warm_up::{SlowStart, warm_up_fraction};
 
-/// The share of the remaining time within which an endpoint should usually respond.
+/// Share of the remaining time within which an endpoint is expected to respond.
 const RESPONSE_TIME_SHARE: f64 = 0.6;
-/// This instance's zone is preferred while its slowdown is at most this multiple of the others', …
+/// This instance's zone is preferred while its slowdown is at most this multiple, plus
+/// [`CROSS_ZONE_FACTOR`] times the cross-zone price, of the slowdown of the other zones.
 const OWN_ZONE_SLOWDOWN_RATIO: f64 = 0.8;
-/// … plus this multiple of the price of crossing zones, which also adds to the cost of endpoints in
-/// other zones.
+/// Multiplier of the cross-zone price, both in the preference for this instance's zone and in the
+/// cost of endpoints in other zones.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
-/// No endpoint counts as faster than this.
+/// Lower bound of the slowdown that enters the cost of an endpoint.
 const MIN_SLOWDOWN: f64 = 0.1;
 
-/// The parts on which routing depends.
+/// State that endpoint selection depends on.
 pub(crate) struct RoutingInputs<'a> {
-    /// The rollout and the endpoints.
+    /// Rollout state and endpoint table.
     pub(crate) view: RolloutView<'a>,
     /// Health of the endpoints.
     pub(crate) health: &'a HealthChecker,
-    /// Limits on attempts in flight.
+    /// Concurrency limits.
     pub(crate) limits: &'a ConcurrencyLimits,
-    /// Traffic of builds under evaluation.
+    /// Limits the traffic to builds under evaluation.
     pub(crate) exposure: &'a ExposureGuard,
-    /// Load of the endpoints.
+    /// Load estimates of the endpoints.
     pub(crate) loads: &'a mut EndpointLoads,
     /// Latencies of routes, endpoints, hardware classes and zones.
     pub(crate) latency: &'a mut LatencyModel,
-    /// Slow start of warming endpoints.
+    /// Slow-start credit of warming endpoints.
     pub(crate) slow_start: &'a mut SlowStart,
 }
 
-/// Chooses the endpoint for one attempt.
+/// Selects the endpoint for one attempt.
 pub(crate) struct EndpointSelector<'a> {
     inputs: RoutingInputs<'a>,
     context: &'a mut StepContext,
 }
 
 impl<'a> EndpointSelector<'a> {
-    /// A selector for the current step.
+    /// Creates a selector for the current step.
     pub(crate) fn new(
         inputs: RoutingInputs<'a>,
         context: &'a mut StepContext,
@@ -65,7 +67,8 @@
         EndpointSelector { inputs, context }
     }
 
-    /// An endpoint for a request, of `lowest_build` or a later one.
+    /// Returns an endpoint for a request that runs `lowest_build` or a later build, if there is
+    /// one.
     pub(crate) fn choose(
         &mut self,
         request: &Request,
@@ -100,20 +103,21 @@
         }
         self.keep_fast_enough(&mut candidates.released, &expected, time_limit);
         self.keep_fast_enough(&mut candidates.canary, &expected, time_limit);
-        // The arms are chosen by the number of their warm endpoints. Warming endpoints have had
-        // their chance, and would leave their share to the warm ones of their build.
+        // The probability of an arm is its share of the warm endpoints. Warming endpoints were
+        // considered above; if they counted here too, their share of the traffic would go to the
+        // warm endpoints of the same build.
         let prefers_canary = self.context.random.rand_float() < candidates.canary_share();
         let arm = candidates.into_preferred_arm(prefers_canary);
         self.choose_cheaper_of_two(&arm)
     }
 
-    /// The latency that an endpoint should usually keep.
+    /// Returns the highest expected latency at which an endpoint counts as fast enough.
     fn time_limit(&self, request: &Request) -> LatencyEstimate {
         let remaining = request.objective_deadline.micros_since(self.context.now);
         LatencyEstimate::from_micros(RESPONSE_TIME_SHARE * remaining as f64)
     }
 
-    /// How long the request usually takes at present, by hardware class.
+    /// Returns the current expected latency of the request by hardware class.
     fn expected_by_class(
         &mut self,
         request: &Request,
@@ -127,8 +131,8 @@
         self.inputs.latency.expected_by_class(baseline, now)
     }
 
-    /// Endpoints that may take the request; of these the ones to which it has not been sent, if
-    /// there are any.
+    /// Returns the endpoints eligible for the request. If it has not yet been sent to some of them,
+    /// only those are returned.
     fn eligible_endpoints(
         &self,
         request: &Request,
@@ -155,7 +159,8 @@
         }
     }
 
-    /// Health and concurrency limit of an endpoint allow one more attempt.
+    /// Returns whether the health and the concurrency limit of an endpoint allow one more attempt.
+    /// If all endpoints are ejected (panic mode), ejected ones may be tried.
     fn has_capacity(&self, index: EndpointIndex, panic_mode: bool) -> bool {
         let RoutingInputs { health, limits, .. } = &self.inputs;
         let in_flight = self.inputs.loads.in_flight(index);
@@ -180,8 +185,8 @@
             .has_credit(endpoint, endpoints, self.context)
     }
 
-    /// Keeps the endpoints that can respond in time, if there are any: long requests leave the slow
-    /// endpoints to short ones.
+    /// Retains the endpoints that are expected to respond in time, if there are any, so that long
+    /// requests leave the slow endpoints to short ones.
     fn keep_fast_enough(
         &self,
         arm: &mut Vec<EndpointIndex>,
@@ -196,8 +201,9 @@
         }
     }
 
-    /// The one with the lower cost of two drawn at random, the first of them from this instance's
-    /// zone unless that zone is so slow that crossing is worth its price.
+    /// Samples two endpoints at random and returns the one with the lower cost. The first is
+    /// sampled from this instance's zone, unless that zone is so slow that the cross-zone price is
+    /// worth paying.
     fn choose_cheaper_of_two(&mut self, arm: &[EndpointIndex]) -> Option<EndpointIndex> {
         if arm.is_empty() {
             return None;
@@ -225,7 +231,7 @@
         slowdowns.own <= ratio * slowdowns.other
     }
 
-    /// The cost of sending an attempt to an endpoint.
+    /// Returns the cost of sending an attempt to an endpoint.
     fn endpoint_cost(&mut self, index: EndpointIndex) -> f64 {
         let now = self.context.now;
         let endpoints = self.inputs.view.endpoints;
@@ -240,7 +246,7 @@
     }
 }
 
-/// One member of a pool that is not empty.
+/// Returns a random element of a non-empty pool.
 fn choose_random(random: &mut Rand64, pool: &[EndpointIndex]) -> EndpointIndex {
     pool[(random.rand_u64() % pool.len() as u64) as usize]
 }
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -1,4 +1,4 @@
-//! How many requests a second a warm endpoint serves for this instance.
+//! Measures how many requests per second a warm endpoint serves for this instance.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use crate::statistics::{DecayingMean, TimeConstant, WeightedSum};
 use crate::types::{HardwareClassIndex, Timestamp};
 
-/// Over what time the rates are averaged.
+/// Time constant of the moving average of the rates.
 const RATE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Ready time of endpoints that is needed to measure a rate.
+/// Minimum total time in service from which a rate is computed.
 const MIN_READY_SECONDS: f64 = 1.0;
 
-/// Responses of warm endpoints, and the seconds for which these were in service, by hardware class.
+/// Number of responses of warm endpoints and their time in service in seconds, by hardware class.
 #[derive(Debug, Default)]
 pub(super) struct CapacityMeter {
     classes: IndexedTable<HardwareClassIndex, DecayingMean>,
 }
 
 impl CapacityMeter {
-    /// Makes room for a hardware class unless it is known.
+    /// Adds a hardware class unless it is known.
     pub(super) fn add_class(&mut self, class: HardwareClassIndex) {
         let empty = DecayingMean::new(RATE_TIME_CONSTANT);
         self.classes.put_if_absent(class, empty);
     }
 
-    /// A warm endpoint has responded.
+    /// Records a response of a warm endpoint.
     pub(super) fn record_response(&mut self, class: HardwareClassIndex, now: Timestamp) {
         let response = WeightedSum {
             sum: 1.0,
@@ -33,7 +33,7 @@
         self.classes[class].add_weighted(response, now);
     }
 
-    /// A warm endpoint has been in service for a further `time`.
+    /// Records that a warm endpoint has been in service for a further `time`.
     pub(super) fn record_ready_time(
         &mut self,
         class: HardwareClassIndex,
@@ -47,8 +47,8 @@
         self.classes[class].add_weighted(ready_time, now);
     }
 
-    /// Responses a second of a warm endpoint of this hardware class, or else of any class, where
-    /// enough is known.
+    /// Returns the responses per second of a warm endpoint of a hardware class, or of all classes
+    /// together if too little is known of that class. Returns `None` if too little is known of all.
     pub(super) fn responses_per_second(
         &mut self,
         class: HardwareClassIndex,
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -1,4 +1,4 @@
-//! This instance's share of the capacity of a warming endpoint.
+//! Tracks this instance's share of the capacity of each warming endpoint as slow-start credit.
 
 use std::time::Duration;
 
@@ -9,18 +9,21 @@
 use crate::step_context::StepContext;
 use crate::types::{EndpointIndex, HardwareClassIndex, Timestamp, fractional_micros};
 
-/// The share that is used of what a warming endpoint can take from all instances together.
+/// Slow start uses this share of the load that a warming endpoint may receive from all instances
+/// together.
 const CAPACITY_SHARE: f64 = 0.65;
-/// Over what time the rate of arriving requests is averaged, and for how long it counts as measured
-/// at least.
+/// Time constant of the moving average of the arrival rate.
 const ARRIVALS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
+/// The arrival rate is computed over at least this time, so that the first requests after the start
+/// do not look like a surge.
 const MIN_ARRIVALS_LIFETIME: Duration = Duration::from_secs(1);
-/// Credit is saved up for at most this fraction of the overload window.
+/// Credit accrues for at most this fraction of the overload window.
 const MAX_CREDIT_WINDOW_FRACTION: f64 = 0.25;
 const FULL_CAPACITY: f64 = 1.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The fraction of its capacity that an endpoint certainly has at present.
+/// Returns the fraction of its full capacity that an endpoint is guaranteed to have now. An
+/// endpoint whose start time is not listed counts as warm.
 pub(crate) fn warm_up_fraction(endpoint: &Endpoint, context: &StepContext) -> f64 {
     let Some(started_at) = endpoint.process.started_at else {
         return FULL_CAPACITY;
@@ -34,14 +37,14 @@
 /// Requests that this instance may send to one warming endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlowStartCredit {
-    /// Requests that may be sent now; whole ones count.
+    /// Number of requests that may be sent now; a fraction below one allows no request.
     requests: f64,
-    /// When the credit was last brought up to date.
+    /// When the credit was last updated.
     updated_at: Timestamp,
 }
 
 impl SlowStartCredit {
-    /// Adds what has been accrued since the last time, up to a maximum; the rate is in requests a
+    /// Adds the credit accrued since the last update, up to `maximum`. The rate is in requests per
     /// microsecond.
     fn accrue(&mut self, rate: f64, maximum: f64, now: Timestamp) {
         let accrued = rate * now.micros_since(self.updated_at) as f64;
@@ -50,7 +53,7 @@
     }
 }
 
-/// Slow start of all endpoints.
+/// Slow-start state of all endpoints.
 #[derive(Debug)]
 pub(crate) struct SlowStart {
     credits: IndexedTable<EndpointIndex, SlowStartCredit>,
@@ -59,7 +62,7 @@
 }
 
 impl SlowStart {
-    /// Without any endpoint yet.
+    /// Creates the state without any endpoints.
     pub(crate) fn new() -> SlowStart {
         SlowStart {
             credits: IndexedTable::default(),
@@ -68,24 +71,24 @@
         }
     }
 
-    /// A request has arrived.
+    /// Records the arrival of a request.
     pub(crate) fn record_arrival(&mut self, now: Timestamp) {
         self.arrivals.record(now);
     }
 
-    /// A new endpoint has taken this index.
+    /// Adds an endpoint without credit.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.credits.put(index, SlowStartCredit::default());
     }
 
-    /// Makes room for a hardware class unless it is known.
+    /// Adds a hardware class unless it is known.
     pub(crate) fn add_class(&mut self, class: HardwareClassIndex) {
         self.capacity.add_class(class);
     }
 
-    /// Another process runs at an endpoint. Each instance starts with another fraction of a
-    /// request, in the order of the endpoints' names, so that the instances take turns with the
-    /// first requests.
+    /// Resets the credit of an endpoint at which a new process runs. Each instance starts with a
+    /// different fraction of a request, which depends on its index and on the rank of the
+    /// endpoint's name, so that the first requests of the instances are staggered.
     pub(crate) fn start_process(
         &mut self,
         index: EndpointIndex,
@@ -100,17 +103,17 @@
         };
     }
 
-    /// A request has been sent to a warming endpoint.
+    /// Deducts a request that has been sent to a warming endpoint.
     pub(crate) fn consume_credit(&mut self, index: EndpointIndex) {
         self.credits[index].requests -= 1.0;
     }
 
-    /// A warm endpoint has responded.
+    /// Records a response of a warm endpoint.
     pub(crate) fn record_response(&mut self, class: HardwareClassIndex, now: Timestamp) {
         self.capacity.record_response(class, now);
     }
 
-    /// A warm endpoint has been in service for a further `time`.
+    /// Records that a warm endpoint has been in service for a further `time`.
     pub(crate) fn record_ready_time(
         &mut self,
         class: HardwareClassIndex,
@@ -120,12 +123,11 @@
         self.capacity.record_ready_time(class, time, now);
     }
 
-    /// Whether this instance may send a request to a warming endpoint now.
+    /// Updates the credit of a warming endpoint and returns whether it covers a request.
     ///
-    /// Its share of what the endpoint can take is accrued over time and may be used once it amounts
-    /// to a request. The rate at which warm endpoints of the class serve this instance stands in
-    /// for the capacity, so that the shares of all instances add up to it however unevenly traffic
-    /// is spread over them.
+    /// The capacity is approximated by the rate at which warm endpoints of the hardware class serve
+    /// this instance. The shares of all instances therefore add up to the capacity, however
+    /// unevenly traffic is distributed over the instances.
     pub(crate) fn has_credit(
         &mut self,
         endpoint: ClassedEndpoint,
@@ -143,8 +145,8 @@
         slow_start_credit.requests >= 1.0
     }
 
-    /// Requests a second that a warm endpoint serves for this instance, or an even part of the
-    /// arriving ones while that is not known.
+    /// Returns the requests per second that a warm endpoint serves for this instance. While that is
+    /// not known, returns the arrival rate divided by the number of ready endpoints.
     fn capacity(
         &mut self,
         class: HardwareClassIndex,
