--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,7 +1,7 @@
-//! The policy of one instance: its parts, their construction, and the order of a step.
+//! The policy of one instance: composes its parts and runs them in order in each step.
 //!
-//! Each part owns its state and its decisions; this module passes what one part decides on to the
-//! others. The events of a host are taken in `events`, snapshots in `persistence`.
+//! Each part owns its state and its decisions; this module passes the decisions of one part to the
+//! others. `events` handles events from the host, and `persistence` saves and restores snapshots.
 
 mod events;
 mod persistence;
@@ -33,9 +33,9 @@
 };
 use crate::warm_up::SlowStart;
 
-/// Events since the last step.
+/// Source of the events that occurred since the last step.
 pub trait EventSource {
-    /// Delivers them in order, as calls on the policy.
+    /// Delivers the events in order, as calls on the policy.
     fn deliver(&mut self, policy: &mut Balancer);
 }
 
@@ -46,10 +46,11 @@
     age: Duration,
 }
 
-/// The policy of one instance. Its host feeds it with events and calls [`Balancer::step`].
+/// The policy of one instance. Its host calls [`Balancer::step`] and supplies the events.
 pub struct Balancer {
     context: StepContext,
-    /// When this instance ends, once that is known; all requests are answered by then.
+    /// When this instance shuts down, or [`Timestamp::MAX`] while that is not known. All requests
+    /// must be answered by then.
     shutdown_deadline: Timestamp,
     schedule: Schedule,
     endpoints: EndpointTable,
@@ -68,9 +69,9 @@
     votes: VoteScheduler,
 }
 
-/// Construction, and what hosts and tests may look at.
+/// Construction, and queries for hosts and tests.
 impl Balancer {
-    /// An instance that starts now and knows nothing yet.
+    /// Creates an instance that starts at `now`, without any learned state.
     pub fn new(settings: Settings, seed: u64, now: Timestamp) -> Self {
         Balancer {
             shutdown_deadline: Timestamp::MAX,
@@ -93,47 +94,48 @@
         }
     }
 
-    /// The time of the last step.
+    /// Returns the time of the last step.
     pub fn now(&self) -> Timestamp {
         self.context.now
     }
 
-    /// The next step that has been requested.
+    /// Returns the time for which the next step has been requested.
     pub fn wake_up_at(&self) -> Timestamp {
         self.schedule.wake_up_at()
     }
 
-    /// The rollout of the newest build, once the platform has announced it.
+    /// Returns the rollout of the newest build, once the platform has announced it.
     pub fn rollout(&self) -> Option<Rollout> {
         self.rollout.current()
     }
 
-    /// The build that this instance has rejected last.
+    /// Returns the build that this instance rejected last.
     pub fn rejected_build(&self) -> Option<BuildNumber> {
         self.evaluator.rejected_build()
     }
 
-    /// Slow responses of the fleet before the rollout.
+    /// Returns the outcomes of the fleet before the rollout, with slow responses as failures.
     pub fn fleet_baseline(&self) -> Arm {
         self.evaluator.fleet_baseline().arm
     }
 
-    /// The latest build that has answered an idempotency key.
+    /// Returns the latest build that has answered an idempotency key.
     pub fn key_build(&self, key: &str) -> Option<BuildNumber> {
         self.key_builds.get(key)
     }
 
-    /// The sums behind the baseline latency of a route, if the route is known.
+    /// Returns the sums from which the baseline latency of a route is computed, if the route is
+    /// known.
     pub fn route_latency(&mut self, route: RouteIndex) -> Option<RouteLatency> {
         self.latency.route_sums(Some(route), self.context.now)
     }
 
-    /// Index of an endpoint, if it is known.
+    /// Returns the index of an endpoint, if it is known.
     pub fn endpoint_index(&self, name: &str) -> Option<EndpointIndex> {
         self.endpoints.find(name)
     }
 
-    /// State and load of an endpoint, if it is known.
+    /// Returns the state and load of an endpoint, if it is known.
     pub fn endpoint_status(&self, name: &str) -> Option<EndpointStatus> {
         let index = self.endpoints.find(name)?;
         Some(EndpointStatus {
@@ -144,7 +146,7 @@
         })
     }
 
-    /// Number of entries in the tables.
+    /// Returns the number of entries in each table.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             endpoint_indexes: self.endpoints.len(),
@@ -156,9 +158,9 @@
     }
 }
 
-/// The order of a step.
+/// The steps of the policy.
 impl Balancer {
-    /// Takes the events since the last step and makes the decisions that follow from them.
+    /// Processes the events since the last step and makes the decisions that follow from them.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -187,7 +189,7 @@
         self.schedule_wake_up(sink);
     }
 
-    /// Counts the attempts in flight, notices those that take too long, and cancels those whose
+    /// Counts the attempts in flight, records those that have timed out, and cancels those whose
     /// request is finished.
     fn sweep(&mut self, sink: &mut dyn DecisionSink) {
         self.exposure.expire(&self.context);
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Drops evidence that has decayed, keys that bind nothing any more, and names of endpoints
-    /// that have been removed and to which nothing refers.
+    /// Drops evidence that has decayed, idempotency keys that no longer restrict routing, and the
+    /// names of removed endpoints that are no longer referenced.
     fn forget_expired(&mut self) {
         self.evaluator.forget_expired(self.context.now);
         self.key_builds.forget_expired(&self.endpoints);
@@ -257,7 +259,8 @@
         }
     }
 
-    /// Checks and ejects endpoints, and measures for how long warm ones have been in service.
+    /// Starts health checks, ejects endpoints, and records the time that warm endpoints have been
+    /// in service.
     fn check_endpoints(&mut self, sink: &mut dyn DecisionSink) {
         let now = self.context.now;
         self.health.check_endpoints(&self.endpoints, now, sink);
@@ -273,10 +276,12 @@
         }
     }
 
-    /// Sends each waiting request to an endpoint, or answers it if it cannot be served in time.
+    /// Sends waiting requests to endpoints, and rejects or fails those that cannot be served in
+    /// time.
     fn serve_requests(&mut self, sink: &mut dyn DecisionSink) {
-        // Where one request finds no endpoint, no other first attempt of its route does. They are
-        // not tried, so that congestion does not cost CPU time too.
+        // If no endpoint is found for the first attempt of one request, none will be found for
+        // other first attempts on the same route. These are skipped to save CPU time under
+        // congestion.
         let mut is_saturated = vec![false; self.context.settings.routes.len()];
         for id in self.requests.awaiting_attempt() {
             if !self.admit(id, sink) {
@@ -299,7 +304,8 @@
         }
     }
 
-    /// Decides whether a waiting request is still served, and answers it if not.
+    /// Returns whether a waiting request may be sent now. Rejects or fails it if it cannot be
+    /// served any more.
     fn admit(&mut self, id: RequestId, sink: &mut dyn DecisionSink) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -343,8 +349,8 @@
         EndpointSelector::new(inputs, &mut self.context).choose(request, lowest_build)
     }
 
-    /// The lowest build to which a request may be sent. While a build is being taken out, its keys
-    /// must return to the previous one.
+    /// Returns the lowest build to which a request may be sent. There is no restriction while a
+    /// build is being rolled back, because its keys must then go to the previous build.
     fn lowest_build(&self, request: &Request) -> BuildNumber {
         if self.rollout.is_ending() {
             return BuildNumber::default();
@@ -353,7 +359,7 @@
             .lowest_build(request, &self.requests, &self.context)
     }
 
-    /// The conditions under which an attempt at an endpoint is sent now.
+    /// Returns the conditions for an attempt that is sent to an endpoint now.
     fn attempt_conditions(&mut self, index: EndpointIndex) -> AttemptConditions {
         let now = self.context.now;
         let load = self.loads.load(self.endpoints.classed(index), now);
@@ -373,19 +379,19 @@
         attempt_conditions(&target, &fleet, is_comparable, &self.context)
     }
 
-    /// No rollout is in progress or has ended just now, and most responses are quick.
+    /// Returns whether there is no congestion, and no rollout is in progress or has ended recently.
     fn is_steady(&self) -> bool {
         !self.limits.is_congested() && self.rollout.has_settled(&self.context)
     }
 
-    /// Sends a health check to an endpoint unless one is in flight.
+    /// Starts a health check of an endpoint unless one is in flight.
     fn check_endpoint(&mut self, index: EndpointIndex, sink: &mut dyn DecisionSink) {
         if let Some(deadline) = self.health.start_check(index, self.context.now) {
             sink.start_health_check(&self.endpoints[index].name, deadline);
         }
     }
 
-    /// Sends an attempt and records it in all parts.
+    /// Sends an attempt to an endpoint and records it in all parts.
     fn start_attempt(&mut self, id: RequestId, index: EndpointIndex, sink: &mut dyn DecisionSink) {
         let now = self.context.now;
         let conditions = self.attempt_conditions(index);
@@ -418,8 +424,8 @@
         let pause = if self.requests.is_empty() {
             EVALUATION_INTERVAL
         } else {
-            // A waiting request is given up as soon as it misses its objective, however little
-            // slack there is.
+            // A waiting request must be rejected or failed as soon as it misses its objective, so
+            // the next step may be due before the regular interval has passed.
             let next = self.requests.next_missed_objective(now);
             next.map_or(SWEEP_INTERVAL, |next| SWEEP_INTERVAL.min(next - now))
         };
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -1,4 +1,4 @@
-//! Events from the host: which parts take note of each.
+//! Handlers of the host's events, which pass each event to the parts that depend on it.
 
 use std::time::Duration;
 
@@ -17,14 +17,15 @@
 };
 use crate::warm_up::warm_up_fraction;
 
-/// The endpoint list.
+/// Handlers of the endpoint list.
 impl Balancer {
-    /// A complete endpoint list begins: endpoints that it does not name have been removed.
+    /// Handles the start of a complete endpoint list. Endpoints that do not occur in it have been
+    /// removed.
     pub fn on_complete_endpoint_list(&mut self) {
         self.endpoints.remove_all();
     }
 
-    /// An entry of the endpoint list.
+    /// Handles an entry of the endpoint list.
     pub fn on_endpoint(&mut self, entry: EndpointEntry<'_>) {
         let own_zone = &self.context.settings.zone;
         let change = self.endpoints.update(&entry, own_zone);
@@ -37,14 +38,14 @@
         }
     }
 
-    /// Makes room for a hardware class in all parts.
+    /// Adds a hardware class to all parts.
     pub(super) fn add_class(&mut self, class: HardwareClassIndex) {
         self.loads.add_class(class);
         self.latency.add_class(class);
         self.slow_start.add_class(class);
     }
 
-    /// Makes room for an endpoint in all parts.
+    /// Adds an endpoint to all parts.
     fn add_endpoint(&mut self, index: EndpointIndex) {
         self.loads.add_endpoint(index);
         self.health.add_endpoint(index);
@@ -54,8 +55,8 @@
         self.evaluator.add_endpoint(index);
     }
 
-    /// Another process runs at an endpoint. One that was restarted lately can do less than its full
-    /// capacity, so it starts slowly.
+    /// Resets the state of an endpoint at which a new process runs. A process that started recently
+    /// has less than its full capacity, so it is subject to slow start.
     fn start_process(&mut self, change: ListedChange) {
         let index = change.endpoint.index;
         let now = self.context.now;
@@ -71,7 +72,7 @@
             .start_process(index, name_rank, &self.context);
     }
 
-    /// A poll of the endpoint list has failed.
+    /// Handles a failed poll of the endpoint list.
     pub fn on_endpoint_list_failed(&mut self) {
         let max_interval = self.context.settings.max_poll_interval;
         let now = self.context.now;
@@ -80,9 +81,9 @@
     }
 }
 
-/// Requests.
+/// Handlers of requests.
 impl Balancer {
-    /// A client has sent a request.
+    /// Handles a request from a client.
     pub fn on_request(&mut self, id: RequestId, incoming: IncomingRequest<'_>) {
         let now = self.context.now;
         let route = incoming.route;
@@ -112,9 +113,10 @@
         self.requests.insert(id, request);
     }
 
-    /// Checks all guards once more for an attempt whose connection had to be established first and
-    /// that is only now written: they may have changed since the attempt was chosen. An attempt
-    /// that may not be written has certainly not been executed.
+    /// Checks all conditions of an attempt again and returns whether it may be written to its
+    /// connection. The host calls this if it had to establish the connection first, because the
+    /// conditions may have changed since the endpoint was selected. An attempt that may not be
+    /// written has certainly not been executed.
     pub fn may_write_attempt(&mut self, id: AttemptId) -> bool {
         let now = self.context.now;
         let Some((request, attempt)) = self.requests.live_attempt(id, now) else {
@@ -127,7 +129,7 @@
         if !may_write {
             return false;
         }
-        // Rule 5 counts an attempt from when it is written.
+        // Rule 5 counts an attempt from the time at which it is written.
         let key = WindowKey {
             build,
             route: request.route,
@@ -144,27 +146,27 @@
         may_expose
     }
 
-    /// The response to an attempt has begun to stream to the client.
+    /// Handles the start of streaming a response to the client.
     pub fn on_response_started(&mut self, id: AttemptId) {
         self.requests.start_streaming(id);
     }
 
-    /// The client no longer waits for an answer.
+    /// Handles the disconnection of the client that sent a request.
     pub fn on_client_disconnected(&mut self, id: RequestId) {
         self.requests.finish(id);
     }
 
-    /// This instance ends at `deadline`: open requests must be answered before, even if their
-    /// clients would wait longer.
+    /// Begins the shutdown of this instance, which ends at `deadline`. Open requests must be
+    /// answered before then, even if their clients would wait longer.
     pub fn begin_shutdown(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = deadline;
         self.requests.limit_deadlines(deadline);
     }
 }
 
-/// Ends of attempts and health checks.
+/// Handlers of the results of attempts and health checks.
 impl Balancer {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn on_attempt_result(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.requests.finish_attempt(id, &result) else {
             return;
@@ -202,7 +204,7 @@
         self.requests.remove_if_done(id.request);
     }
 
-    /// Records what a response shows about the capacity and the speed of its endpoint.
+    /// Records a successful response for the capacity and latency estimates of its endpoint.
     fn record_success(&mut self, id: RequestId, attempt: &Attempt, latency: Duration) {
         if attempt.conditions.warm {
             let class = self.endpoints[attempt.endpoint].hardware_class;
@@ -213,8 +215,9 @@
         }
     }
 
-    /// Records an attempt that has timed out. If only responses that arrive were measured,
-    /// latencies would be underestimated.
+    /// Records an attempt that has timed out. If a hedged request is due for it, its age is
+    /// recorded as a latency, because latencies would be underestimated if only completed responses
+    /// were measured.
     pub(super) fn record_timed_out(&mut self, timed_out: TimedOutAttempt) {
         let TimedOutAttempt { id, age } = timed_out;
         self.record_evidence(id, AttemptOutcome::TimedOut, age);
@@ -229,7 +232,7 @@
         request.attempt(id.index).copied()
     }
 
-    /// Records an attempt as evidence about its build.
+    /// Records the outcome of an attempt as evidence about its build.
     fn record_evidence(&mut self, id: AttemptId, outcome: AttemptOutcome, latency: Duration) {
         let now = self.context.now;
         let Some(request) = self.requests.get(id.request) else {
@@ -259,10 +262,10 @@
         self.evaluator.record_attempt(&evidence, &self.context);
     }
 
-    /// Records the latency of a response, or of an attempt whose response may be lost.
+    /// Records the latency of a response, or the age of an attempt whose response may be lost.
     ///
-    /// Baselines are learned in steady times only, since congestion that a bad build leaves behind
-    /// is no baseline for the next one.
+    /// Known baselines are only updated in steady state. Otherwise, congestion left over from a bad
+    /// build would distort the baseline for the next build.
     fn record_latency(&mut self, id: RequestId, attempt: &Attempt, latency: Duration) {
         let now = self.context.now;
         let Some(request) = self.requests.get(id) else {
@@ -283,7 +286,7 @@
         self.latency.record(&sample, learning, now);
     }
 
-    /// Whether the latency of an attempt may change the baselines.
+    /// Returns whether the latency of an attempt may update the baselines.
     fn baseline_learning(&self, attempt: &Attempt) -> BaselineLearning {
         let build = attempt.process.build;
         let is_under_evaluation = self.rollout.is_under_evaluation(build, &self.endpoints);
@@ -296,7 +299,7 @@
         }
     }
 
-    /// Records the outcome of an attempt for the health of its endpoint.
+    /// Updates the health and failure history of an endpoint with the outcome of an attempt.
     fn record_health(&mut self, ended: EndpointOutcome) {
         let EndpointOutcome { endpoint, outcome } = ended;
         let change = self
@@ -320,7 +323,7 @@
         }
     }
 
-    /// Adapts the concurrency limits to the end of an attempt.
+    /// Adapts the concurrency limits to the result of an attempt.
     fn adapt_limits(&mut self, id: RequestId, endpoint: EndpointIndex, result: &AttemptResult) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -335,7 +338,7 @@
         self.limits.record(&observed, &self.context);
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn on_health_check(
         &mut self,
         name: &str,
@@ -362,9 +365,9 @@
     }
 }
 
-/// The rollout.
+/// Handlers of rollout events.
 impl Balancer {
-    /// The platform has announced the state of the newest build's rollout.
+    /// Handles the rollout status of the newest build that the platform has announced.
     pub fn on_rollout_status(&mut self, status: RolloutStatus) {
         let now = self.context.now;
         let change = self.rollout.update(status, now);
@@ -382,12 +385,12 @@
         }
     }
 
-    /// The platform has responded to the pending vote.
+    /// Handles the platform's response to the pending vote.
     pub fn on_vote_result(&mut self, result: VoteResult) {
         self.votes.record_result(result, self.context.now);
     }
 
-    /// A client has complained about an answer that an endpoint gave `age` ago.
+    /// Handles a client's complaint about a response that an endpoint sent `age` ago.
     pub fn on_answer_flagged(&mut self, name: &str, age: Duration) {
         if let Some(endpoint) = self.endpoints.find(name) {
             let now = self.context.now;
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -1,4 +1,4 @@
-//! Saving what an instance has learned, and restoring it after a restart.
+//! Saves the learned state of an instance, and restores it after a restart.
 
 use super::Balancer;
 use crate::rollout::FleetBaseline;
@@ -10,10 +10,10 @@
 use crate::statistics::{Arm, OutcomeCounts, OutcomeKey, PerTest, WeightedSum};
 use crate::types::{BuildNumber, EndpointIndex, RouteIndex, Timestamp};
 
-/// Saving, a bounded number of records at a time.
+/// Saving. Endpoints and outcomes are saved in batches of bounded size.
 impl Balancer {
-    /// Saves up to `limit` endpoints from an index on. Returns the index to continue with, or
-    /// `None` after the last one.
+    /// Saves the endpoints of up to `limit` indexes, starting at `from`. Returns the index to
+    /// continue with, or `None` after the last one.
     pub fn save_endpoints(
         &mut self,
         from: EndpointIndex,
@@ -49,8 +49,8 @@
         });
     }
 
-    /// Saves outcomes of up to `limit` pairs of build and endpoint from this one on. Returns the
-    /// pair to continue with, or `None` after the last one.
+    /// Saves the outcomes of up to `limit` pairs of build and endpoint, starting at `from`. Returns
+    /// the pair to continue with, or `None` after the last one.
     pub fn save_outcomes(
         &mut self,
         from: OutcomeKey,
@@ -70,7 +70,8 @@
         })
     }
 
-    /// Saves the sum of own and restored outcomes, which never count the same attempt.
+    /// Saves the sum of the outcomes that were recorded since the start and those that were
+    /// restored. No attempt is counted in both.
     fn save_outcomes_of(&mut self, key: OutcomeKey, sink: &mut dyn SnapshotSink) {
         let total = self.evaluator.total_outcomes(key, self.context.now);
         sink.outcomes(OutcomeRecord {
@@ -81,7 +82,7 @@
         });
     }
 
-    /// Saves all but endpoints and outcomes.
+    /// Saves all records except those of endpoints and outcomes.
     pub fn save_remaining_records(&mut self, sink: &mut dyn SnapshotSink) {
         if let Some(rollout) = self.rollout.current() {
             sink.rollout(RolloutRecord {
@@ -153,9 +154,10 @@
     }
 }
 
-/// Restoring. Records have been weighted by their age already.
+/// Restoring. The caller has already weighted the records by their age.
 impl Balancer {
-    /// Restores an endpoint's slowdown, and that it is ejected until health checks show otherwise.
+    /// Restores the slowdown of an endpoint and its ejection, which lasts until health checks
+    /// succeed.
     pub fn restore_endpoint(&mut self, name: &str, slowdown: Option<WeightedSum>, ejected: bool) {
         let Some(index) = self.endpoints.find(name) else {
             return;
@@ -164,14 +166,14 @@
         if let Some(sums) = slowdown {
             self.latency.restore_endpoint(index, sums, now);
         }
-        // Without health checks, nothing would bring it back into service.
+        // Without health checks, the endpoint would never return to service.
         let has_health_checks = self.context.settings.health_checks;
         if ejected && has_health_checks && self.endpoints[index].is_ready() {
             self.health.restore_ejection(index, now);
         }
     }
 
-    /// Restores what was learned of a hardware class.
+    /// Restores the load, slowdown, and baseline latency of a hardware class.
     pub fn restore_hardware_class(&mut self, record: HardwareClassRecord<'_>) {
         let now = self.context.now;
         let class = self.endpoints.find_or_insert_class(record.name);
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Restores the baseline latency of a route, or of all routes together where none is named. An
-    /// unknown route is ignored.
+    /// Restores the baseline latency of a route, or of all routes together if the record names no
+    /// route. A record of an unknown route is ignored.
     pub fn restore_route(&mut self, record: RouteRecord<'_>) {
         let route = match record.route {
             None => None,
@@ -201,7 +203,7 @@
             .restore_route(route, record.baseline, self.context.now);
     }
 
-    /// Restores the fleet as it was before a rollout that continues.
+    /// Restores the fleet baseline from before a rollout that is still in progress.
     pub fn restore_fleet_baseline(&mut self, record: FleetBaselineRecord) {
         self.evaluator.restore_fleet_baseline(FleetBaseline {
             arm: Arm {
@@ -225,8 +227,8 @@
         self.key_builds.restore(key, build, &self.context);
     }
 
-    /// Restores outcomes of an endpoint that still runs the same build. The evaluation counts a
-    /// limited number of them.
+    /// Restores the outcomes of an endpoint that still runs the same build. The evaluation counts
+    /// only a limited number of them.
     pub fn restore_outcomes(&mut self, record: OutcomeRecord<'_>) {
         let Some(endpoint) = self.endpoints.find(record.endpoint) else {
             return;
--- a/crates/policy/src/balancer/status.rs
+++ b/crates/policy/src/balancer/status.rs
@@ -1,30 +1,31 @@
-//! What hosts and tests may look at.
+//! Status of an instance for hosts and tests.
 
 use crate::types::EndpointState;
 
-/// What an instance knows of an endpoint.
+/// Status of an endpoint as seen by one instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// Its state in the endpoint list.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// It takes no requests until health checks or a trial request show that it serves.
+    /// Whether it is ejected: it receives no requests until health checks or a trial request
+    /// succeed.
     pub ejected: bool,
-    /// This instance's attempts in flight there.
+    /// Number of this instance's attempts in flight at the endpoint.
     pub in_flight: f64,
-    /// Requests in flight that it last reported.
+    /// Number of requests in flight that the endpoint last reported.
     pub reported_load: f64,
 }
 
-/// Number of entries in the tables of an instance; each is bounded.
+/// Number of entries in each table of an instance. All tables are bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Indexes of endpoints, in use or free.
+    /// Endpoint indexes, in use or free.
     pub endpoint_indexes: usize,
-    /// Names of endpoints.
+    /// Endpoint names.
     pub endpoint_names: usize,
-    /// Pairs of build and endpoint with outcomes.
+    /// Pairs of build and endpoint for which outcomes are recorded.
     pub outcome_counts: usize,
-    /// Idempotency keys of which the build that answered is known.
+    /// Idempotency keys for which the latest build that answered is recorded.
     pub key_builds: usize,
     /// Open requests.
     pub open_requests: usize,
