--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,18 +1,18 @@
-//! The deployment's settings that the policy reads, decoded and checked by its host.
+//! Deployment settings that the policy reads. The host decodes and validates them.
 
 use std::time::Duration;
 
-/// Whether it is harmful to execute a request twice.
+/// Whether requests of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of executions has the effect of one.
+    /// Repeated executions have the same effect as one.
     Idempotent,
-    /// Endpoints of one scope drop repeated requests with the same key, for a window from the first
-    /// attempt that may have executed.
+    /// Endpoints of one scope do not execute a second request with the same idempotency key, for a
+    /// window that starts at the first attempt that may have been executed.
     IdempotencyKey {
-        /// Which endpoints share their keys.
+        /// Endpoints that share their idempotency keys.
         scope: KeyScope,
-        /// How long they keep a key.
+        /// How long the endpoints keep a key.
         window: Duration,
     },
     /// Must not be executed twice.
@@ -20,7 +20,7 @@
 }
 
 impl Idempotency {
-    /// A client may send the request again to any endpoint without harm.
+    /// Whether a client may safely send the request again to any endpoint.
     pub fn is_safe_everywhere(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Which endpoints share their idempotency keys.
+/// Set of endpoints that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -41,16 +41,16 @@
     Cell,
 }
 
-/// One kind of request.
+/// A class of requests with common settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name in requests and reports.
+    /// Name of the route in requests and reports.
     pub name: String,
-    /// An answer counts in full only if it comes within this time.
+    /// A response within this time has its full value; a later one is worth less.
     pub latency_objective: Duration,
-    /// The value of an answer relative to those of other routes.
+    /// Value of a response relative to those of other routes.
     pub priority_weight: f64,
-    /// Whether it may be executed twice.
+    /// Whether requests may be executed more than once.
     pub idempotency: Idempotency,
 }
 
@@ -61,58 +61,62 @@
     pub instance_index: u32,
     /// Number of instances.
     pub instance_count: u32,
-    /// This instance's zone.
+    /// Availability zone of this instance.
     pub zone: String,
-    /// The kinds of requests, by index.
+    /// Routes by index.
     pub routes: Vec<Route>,
-    /// The endpoint list has to be polled.
+    /// Whether the endpoint list must be polled.
     pub poll_endpoints: bool,
-    /// An instance that has not polled the list for this long counts as notified of every change.
+    /// An instance that has not polled the endpoint list for this long is treated as notified of
+    /// every change.
     pub max_poll_interval: Duration,
-    /// Price of an answer from another zone, as a share of the answer's value.
+    /// Cost of a response from another zone, as a fraction of the response's value.
     pub cross_zone_price: f64,
-    /// Health checks are allowed.
+    /// Whether health checks are allowed.
     pub health_checks: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel_attempts: bool,
-    /// Two attempts of one request may be in flight simultaneously.
+    /// Whether two attempts of one request may be in flight simultaneously.
     pub hedging: bool,
-    /// Attempts for each request.
+    /// Maximum number of attempts for each request.
     pub max_attempts: usize,
-    /// The longest retry time that may be sent to a client; zero where none is sent.
+    /// Longest retry delay that may be sent to a client; zero if none is sent.
     pub max_retry_after: Duration,
-    /// How long after the notice of a change the state before it may still be acted on.
+    /// How long after the notice of a change an instance may still act on the previous state.
     pub grace_period: Duration,
-    /// Share of its capacity that an endpoint has right after its start.
+    /// Fraction of its full capacity that an endpoint has right after its start.
     pub warm_up_start: f64,
-    /// Time from an endpoint's start until it has its full capacity.
+    /// Time from an endpoint's start until it reaches its full capacity.
     pub warm_up_time: Duration,
-    /// A warming endpoint fails at this multiple of its capacity, …
+    /// An endpoint that is warming up fails under a load of this multiple of its capacity within
+    /// [`overload_window`](Settings::overload_window).
     pub overload_multiple: f64,
-    /// … within this time.
+    /// Time over which [`overload_multiple`](Settings::overload_multiple) applies.
     pub overload_window: Duration,
     /// Traffic cap of each stage of a rollout.
     pub stage_caps: Vec<f64>,
-    /// Attempts at a build under evaluation that are allowed in addition to the cap.
+    /// Number of attempts at a build under evaluation that are allowed in addition to the traffic
+    /// cap.
     pub exposure_allowance: f64,
-    /// Attempts and requests are counted over this window.
+    /// Window over which attempts and requests are counted for the traffic cap.
     pub exposure_window: Duration,
-    /// They are counted for each route separately.
+    /// Whether the traffic cap applies to each route separately.
     pub exposure_by_route: bool,
-    /// Number of first stages that take idempotent requests only.
+    /// Number of initial stages in which a build takes idempotent requests only.
     pub guarded_stages: u32,
-    /// A key that a later build has answered must not go to an earlier one.
+    /// Whether a request must not go to an earlier build than the latest that has answered its
+    /// idempotency key.
     pub monotonic_key_builds: bool,
-    /// Stages advance automatically unless held.
+    /// Whether the platform advances the stages unless instances vote to hold.
     pub automatic_stages: bool,
-    /// The shortest time at a stage.
+    /// Minimum time at a stage.
     pub min_stage_time: Duration,
-    /// Instances that have to vote to roll a build back.
+    /// Number of instances whose votes are needed to roll a build back.
     pub rollback_votes: u32,
-    /// Votes a second that the platform takes from all instances together.
+    /// Votes per second that the platform accepts from all instances together.
     pub votes_per_second: f64,
     /// How long a vote counts.
     pub vote_lifetime: Duration,
-    /// How long the platform's response to a vote is awaited.
+    /// How long to wait for the platform's response to a vote.
     pub vote_timeout: Duration,
 }
--- a/crates/policy/src/types.rs
+++ b/crates/policy/src/types.rs
@@ -1,5 +1,5 @@
-//! Values that cross the border between the policy and its host: identifiers, times, requests and
-//! their outcomes, the endpoint list, the rollout, votes and verdicts.
+//! Types that the policy and its host exchange: identifiers, timestamps, requests and their
+//! outcomes, the endpoint list, the rollout, votes and verdicts.
 
 mod endpoint;
 mod ids;
--- a/crates/policy/src/types/endpoint.rs
+++ b/crates/policy/src/types/endpoint.rs
@@ -1,8 +1,8 @@
-//! Endpoints as discovery lists them, and their load reports.
+//! Entries of the endpoint list from discovery, and load reports of endpoints.
 
 use super::{BuildNumber, Timestamp};
 
-/// State of an endpoint, as discovery lists it.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// No longer listed, or never listed.
@@ -10,34 +10,34 @@
     Removed,
     /// Takes new requests.
     Ready,
-    /// Finishes the requests that it has and takes no new ones.
+    /// Completes its requests in flight and takes no new ones.
     Draining,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry<'a> {
-    /// Identifies the endpoint; a restarted process may return under the same name.
+    /// Identifies the endpoint; a restarted process may be listed under the same name.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: &'a str,
-    /// Its cell within the zone.
+    /// Cell within the availability zone.
     pub cell: u64,
-    /// Endpoints of one hardware class are equally fast.
+    /// Hardware class; endpoints of one class are assumed to be equally fast.
     pub hardware_class: &'a str,
-    /// The build that it runs.
+    /// Build that the endpoint runs.
     pub build: BuildNumber,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub state: EndpointState,
-    /// When its process started; `None` where it has run for longer than it takes to warm up.
+    /// Start time of the process; `None` if it has run for longer than the warm-up time.
     pub started_at: Option<Timestamp>,
 }
 
-/// An endpoint's report of its load; it may report either count, both or neither.
+/// Load that an endpoint reports: either count, both or neither.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it executes or holds.
+    /// Requests that the endpoint executes or has queued.
     pub in_flight: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Requests in the endpoint's queue.
     pub queued: Option<f64>,
 }
--- a/crates/policy/src/types/ids.rs
+++ b/crates/policy/src/types/ids.rs
@@ -1,8 +1,9 @@
-//! Identifiers and indexes, each with a type of its own so that they cannot be mixed up.
+//! Newtypes for identifiers and indexes, so that the compiler rejects one in place of another.
 
 use std::fmt;
 
-/// Declares a type that wraps a number and is only good for identifying something.
+/// Declares a newtype over an integer that supports comparison, hashing and display but no
+/// arithmetic.
 macro_rules! numeric_newtype {
     ($(#[$attributes:meta])* $name:ident, $number:ty) => {
         $(#[$attributes])*
@@ -10,12 +11,12 @@
         pub struct $name($number);
 
         impl $name {
-            /// Wraps the bare number.
+            /// Wraps a number.
             pub const fn new(number: $number) -> Self {
                 Self(number)
             }
 
-            /// The bare number, for codecs, logs and collections.
+            /// The wrapped number, for codecs, logs and collections.
             pub const fn get(self) -> $number {
                 self.0
             }
@@ -36,27 +37,27 @@
 }
 
 numeric_newtype!(
-    /// Identifies a request; the host chooses it and uses it for one open request at a time.
+    /// Identifies a request. The host assigns it; no two open requests share one.
     RequestId,
     u64
 );
 numeric_newtype!(
-    /// Position of an attempt among the attempts of its request, from 0.
+    /// Index of an attempt among the attempts of its request, from 0.
     AttemptIndex,
     usize
 );
 numeric_newtype!(
-    /// Position of an endpoint in the table of endpoints; reused once nothing refers to it.
+    /// Index of an endpoint in the table of endpoints; reused once nothing refers to it.
     EndpointIndex,
     usize
 );
 numeric_newtype!(
-    /// Position of a hardware class in the table of hardware classes.
+    /// Index of a hardware class in the table of hardware classes.
     HardwareClassIndex,
     usize
 );
 numeric_newtype!(
-    /// Position of a route in [`Settings::routes`](crate::settings::Settings::routes).
+    /// Index of a route in [`Settings::routes`](crate::settings::Settings::routes).
     RouteIndex,
     usize
 );
@@ -76,7 +77,7 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt among those of the request.
+    /// The index of the attempt within the request.
     pub index: AttemptIndex,
 }
 
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -1,23 +1,24 @@
-//! Requests as clients send them, and how their attempts end.
+//! Requests from clients, and the outcomes of their attempts.
 
 use std::time::Duration;
 
 use super::{LoadReport, RouteIndex};
 
-/// A request that a client has sent.
+/// A request received from a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest<'a> {
-    /// Its route.
+    /// Route of the request.
     pub route: RouteIndex,
-    /// The client's idempotency key, where it sent one.
+    /// The client's idempotency key, if it sent one.
     pub idempotency_key: Option<&'a str>,
-    /// How long the client still waits.
+    /// Time until the client stops waiting for a response.
     pub time_remaining: Duration,
-    /// How much work it is, in the unit of the clients' hints; `None` without a hint.
+    /// The client's hint of the cost of the request, in the unit of these hints; `None` without a
+    /// hint.
     pub cost_hint: Option<f64>,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// A complete response.
@@ -26,64 +27,65 @@
     Failed,
     /// A response that cannot be parsed; the request may have been executed.
     Malformed,
-    /// The endpoint rejected the request itself as invalid, which is the request's answer.
+    /// The endpoint rejected the request as invalid; the rejection is the response to the client.
     InvalidRequest,
-    /// The endpoint rejected the attempt under load, without executing it.
+    /// The endpoint was overloaded and rejected the attempt without executing it.
     Overloaded,
-    /// No response in time.
+    /// No response before the deadline.
     TimedOut,
-    /// The connection was refused, or broke before the request was written whole.
+    /// The connection was refused, or broke before the whole request was written.
     Refused,
-    /// The connection broke under the written request.
+    /// The connection broke after the request was written.
     ConnectionReset,
     /// The host cancelled the attempt at the policy's request.
     Cancelled,
-    /// The host never sent it.
+    /// The host did not send the attempt.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// The endpoint executed the request or tried to, and responded, if only with an error. One
-    /// that rejects attempts under load without executing them does not count as responsive.
+    /// Whether the endpoint responded, with an error or not, after it executed the request or tried
+    /// to. An overload rejection is no response in this sense: an endpoint that only rejects
+    /// attempts does not count as responsive.
     pub fn is_response(self) -> bool {
         use AttemptOutcome::{Failed, InvalidRequest, Malformed, Succeeded};
         matches!(self, Succeeded | Failed | Malformed | InvalidRequest)
     }
 
-    /// Something broke; the time that it took does not matter.
+    /// Whether the attempt failed with an error, whatever its duration.
     pub fn is_error(self) -> bool {
         use AttemptOutcome::{ConnectionReset, Failed, Malformed};
         matches!(self, Failed | ConnectionReset | Malformed)
     }
 
-    /// The duration of the attempt shows how fast the endpoint is.
+    /// Whether the duration of the attempt is evidence of the endpoint's latency.
     pub fn measures_latency(self) -> bool {
         use AttemptOutcome::{Succeeded, TimedOut};
         matches!(self, Succeeded | TimedOut)
     }
 
-    /// The request has certainly not been executed.
+    /// Whether it is certain that the endpoint did not execute the request.
     pub fn never_executed(self) -> bool {
         use AttemptOutcome::{NotSent, Overloaded, Refused};
         matches!(self, Overloaded | Refused | NotSent)
     }
 
-    /// The endpoint did not serve the attempt as it should have.
+    /// Whether the outcome is a failure of the endpoint, not of the request or of the host.
     pub fn counts_against_endpoint(self) -> bool {
         use AttemptOutcome::{Cancelled, InvalidRequest, NotSent, Succeeded};
         !matches!(self, Succeeded | InvalidRequest | Cancelled | NotSent)
     }
 }
 
-/// The end of an attempt.
+/// How an attempt ended, and what came with its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time from its start to its end.
+    /// Time from the start to the end of the attempt.
     pub duration: Duration,
-    /// The client has its answer, or no longer waits for one.
+    /// Whether the client has received its response or no longer waits for one.
     pub request_finished: bool,
-    /// The load report that came with the response.
+    /// Load report that came with the response, if any.
     pub load: Option<LoadReport>,
 }
--- a/crates/policy/src/types/rollout.rs
+++ b/crates/policy/src/types/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout of the newest build, as the platform announces it.
+//! State of the newest build's rollout, as announced by the platform.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 pub enum RolloutPhase {
     /// The build is under evaluation.
     Canary,
-    /// The build is being replaced by the previous one.
+    /// The platform replaces the build by the previous one.
     RollingBack,
-    /// The build serves everywhere.
+    /// The build is released to the whole fleet.
     Released,
-    /// The build has been taken out.
+    /// The build has been removed from the fleet.
     Withdrawn,
 }
 
 impl RolloutPhase {
-    /// The build serves, and will continue to.
+    /// Whether the build serves and is not being rolled back.
     pub fn is_serving(self) -> bool {
         matches!(self, RolloutPhase::Canary | RolloutPhase::Released)
     }
 
-    /// The build is being taken out, or has been.
+    /// Whether the build is being rolled back or has been.
     pub fn is_rollback(self) -> bool {
         matches!(self, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
     }
 
-    /// Nothing changes until the next build is offered.
+    /// Whether the rollout is over: its state stays the same until the next build is offered.
     pub fn has_ended(self) -> bool {
         matches!(self, RolloutPhase::Released | RolloutPhase::Withdrawn)
     }
@@ -39,12 +39,12 @@
 pub struct RolloutStatus {
     /// The newest build.
     pub build: BuildNumber,
-    /// Stage of its evaluation.
+    /// Stage of the build's evaluation.
     pub stage: StageIndex,
-    /// Phase of its rollout.
+    /// Phase of the rollout.
     pub phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
+    /// Largest share of the requests that may be attempted at the build.
     pub traffic_cap: f64,
-    /// Time since stage and phase began.
+    /// Time since the current stage and phase began.
     pub age: Duration,
 }
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -1,17 +1,17 @@
-//! The tests that a build is put to, and the verdict that it must be rolled back.
+//! Statistical tests of a build under evaluation, and the verdict that it must be rolled back.
 
 use super::{BuildNumber, StageIndex};
 
-/// The tests that a build is put to.
+/// A statistical test that compares a build under evaluation with a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceTest {
-    /// Failures of any kind, against the previous build at the same time.
+    /// Failures of any kind, compared with the previous build over the same time.
     Failures,
-    /// Slow responses, against the previous build at the same time.
+    /// Slow responses, compared with the previous build over the same time.
     Slowness,
-    /// Errors alone, also against the time before the rollout.
+    /// Errors alone, compared also with the time before the rollout.
     Errors,
-    /// Slow responses of the whole fleet, against the time before the rollout.
+    /// Slow responses of the whole fleet, compared with the time before the rollout.
     FleetSlowdown,
 }
 
@@ -24,46 +24,48 @@
         EvidenceTest::FleetSlowdown,
     ];
 
-    /// Position of the test in arrays that hold a value for each test.
+    /// Index of the test in arrays with one value for each test.
     pub const fn index(self) -> usize {
         self as usize
     }
 }
 
-/// Failures among outcomes. Both are decaying counts, so they need not be whole.
+/// Number of failures among a number of outcomes. Both counts decay, so they may be fractional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FailureCounts {
-    /// Outcomes that count as failures in the test at hand.
+    /// Outcomes that the test counts as failures.
     pub failures: f64,
     /// All outcomes.
     pub outcomes: f64,
 }
 
-/// The evidence on which an instance has found that a build must be rolled back.
+/// An instance's verdict that a build must be rolled back, with its evidence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RollbackVerdict {
     /// The rejected build.
     pub build: BuildNumber,
     /// The stage at which it was rejected.
     pub stage: StageIndex,
-    /// The test whose score passed the bound.
+    /// The test whose score reached the bound.
     pub test: EvidenceTest,
-    /// Outcomes of the build, including those restored from a snapshot; in the test of the fleet,
-    /// of the endpoints with the smallest shares of slow responses, whatever build they run.
+    /// Outcomes of the build, including those restored from a snapshot. For
+    /// [`EvidenceTest::FleetSlowdown`]: outcomes of the endpoints with the smallest shares of slow
+    /// responses, whatever build they run.
     pub candidate: FailureCounts,
-    /// Outcomes with which it is compared, including those that are added
-    /// to the fleet baseline and to a baseline without endpoints in service.
+    /// Outcomes that the candidate is compared with, including the prior outcomes that are added to
+    /// the fleet baseline and to a baseline without endpoints in service.
     pub baseline: FailureCounts,
-    /// Outcomes of the build from before this instance's restart.
+    /// Outcomes of the build that were restored from before this instance's restart.
     pub restored_outcomes: f64,
-    /// The score, less the evidence margin and the margin for the number of instances.
+    /// Score of the test, after the evidence margin and the margin for the number of instances are
+    /// subtracted.
     pub score: f64,
-    /// The Wald bound that the score has reached.
+    /// Wald bound that the score has reached.
     pub bound: f64,
-    /// The rate of false rollbacks for which the bound is chosen.
+    /// Rate of false rollbacks from which the bound is computed.
     pub alpha: f64,
-    /// The rate of missed bad builds for which the bounds are chosen.
+    /// Rate of missed bad builds from which the bounds are computed.
     pub beta: f64,
-    /// Ready endpoints of the build that are ejected.
+    /// Number of ready endpoints of the build that are ejected.
     pub ejected_endpoints: usize,
 }
--- a/crates/policy/src/types/vote.rs
+++ b/crates/policy/src/types/vote.rs
@@ -1,13 +1,13 @@
-//! Votes on the build under evaluation, and what the platform makes of them.
+//! Votes on the build under evaluation, and the platform's response to them.
 
 use super::{BuildNumber, StageIndex};
 
-/// An instance's opinion on the build under evaluation.
+/// What an instance asks the platform to do with the build under evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// Advance to the next stage.
+    /// Advance the rollout to the next stage.
     Advance,
-    /// Stay at this stage.
+    /// Keep the rollout at the current stage.
     Hold,
     /// Replace the build by the previous one.
     RollBack,
@@ -22,7 +22,7 @@
     pub build: BuildNumber,
     /// The stage voted on.
     pub stage: StageIndex,
-    /// The opinion.
+    /// The vote.
     pub vote: Vote,
 }
 
@@ -31,12 +31,12 @@
 pub enum VoteResult {
     /// The vote counts.
     Accepted,
-    /// Build or stage had already changed.
+    /// The vote does not count: the build or the stage had already changed.
     Superseded,
-    /// The platform takes no more votes at the moment.
+    /// The platform accepts no more votes at present.
     Busy,
     /// The vote did not reach the platform, or was refused.
     Failed,
-    /// No response; the vote may count.
+    /// No response arrived; the vote may count.
     Unknown,
 }
