--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -1,8 +1,8 @@
-//! Where the policy's decisions go: the trait that a host implements to carry them out.
+//! Interface to the host, which carries out the policy's decisions.
 //!
 //! A host decodes [`Settings`](crate::settings::Settings) once and calls
-//! [`Balancer::step`](crate::Balancer::step) whenever there are events or the requested wake-up is
-//! due. Events are delivered through [`EventSource`](crate::EventSource).
+//! [`Balancer::step`](crate::Balancer::step) whenever events arrive or the requested wake-up is
+//! due. It delivers events through [`EventSource`](crate::EventSource).
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 
 /// Carries out the decisions of a step, in order.
 pub trait DecisionSink {
-    /// Sends a request to an endpoint; without a response by the deadline the attempt times out.
+    /// Sends a request to an endpoint. The attempt times out if there is no response by the
+    /// deadline.
     fn start_attempt(&mut self, attempt: AttemptId, endpoint: &str, deadline: Timestamp);
 
     /// Cancels an attempt.
     fn cancel_attempt(&mut self, attempt: AttemptId);
 
-    /// Tells the client that it may send its request again: it was not executed, or executing it
-    /// again does no harm. `retry_after` zero names no time.
+    /// Tells the client that it may retry its request: the request was not executed, or may safely
+    /// be executed again. A `retry_after` of zero means that no delay is suggested.
     fn reject_request(&mut self, request: RequestId, retry_after: Duration);
 
     /// Tells the client that its request has failed and may have been executed.
@@ -26,15 +27,15 @@
     /// Sends a vote to the platform.
     fn cast_vote(&mut self, ballot: Ballot);
 
-    /// Sends a health check; without a response by the deadline it times out.
+    /// Sends a health check, which times out if there is no response by the deadline.
     fn start_health_check(&mut self, endpoint: &str, deadline: Timestamp);
 
     /// Polls discovery for the endpoint list.
     fn poll_endpoints(&mut self);
 
-    /// Schedules another step after this time.
+    /// Requests another step after this delay.
     fn schedule_wake_up(&mut self, after: Duration);
 
-    /// Reports that a build has been rejected, once for each build.
+    /// Reports the verdict that a build must be rolled back; called once for each build.
     fn report_rollback_verdict(&mut self, verdict: &RollbackVerdict);
 }
--- a/crates/policy/src/indexed_table.rs
+++ b/crates/policy/src/indexed_table.rs
@@ -1,13 +1,13 @@
-//! A table with one value for each index of another table.
+//! Dense table of one value for each index of a given type.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
 use crate::types::{EndpointIndex, HardwareClassIndex, RouteIndex};
 
-/// An index that stands for a position in a table.
+/// An index type that can address an [`IndexedTable`].
 pub(crate) trait TableIndex: Copy {
-    /// The position.
+    /// The position in the table, from 0.
     fn position(self) -> usize;
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// One value for each index; indexes are given out one after the other from 0.
+/// A vector with typed indexes. Indexes are assigned consecutively from 0.
 #[derive(Clone, Debug)]
 pub(crate) struct IndexedTable<I, T> {
     values: Vec<T>,
@@ -46,7 +46,7 @@
 }
 
 impl<I: TableIndex, T> IndexedTable<I, T> {
-    /// A table that holds these values, from the first index on.
+    /// A table of these values, which have the indexes from 0 on.
     pub(crate) fn from_values(values: Vec<T>) -> Self {
         IndexedTable {
             values,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Puts a value at an index, which is in the table or the next one to be added.
+    /// Sets the value at an index. The index must be in the table, or the next one after its end.
     pub(crate) fn put(&mut self, index: I, value: T) {
         match self.values.get_mut(index.position()) {
             Some(slot) => *slot = value,
@@ -62,14 +62,15 @@
         }
     }
 
-    /// Puts a value at an index unless it has one.
+    /// Adds a value at an index unless the table has one there. The index must be in the table, or
+    /// the next one after its end.
     pub(crate) fn put_if_absent(&mut self, index: I, value: T) {
         if index.position() >= self.values.len() {
             self.values.push(value);
         }
     }
 
-    /// The value at an index, if it has one.
+    /// The value at an index, if there is one.
     pub(crate) fn get_mut(&mut self, index: I) -> Option<&mut T> {
         self.values.get_mut(index.position())
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,24 +1,24 @@
-//! The policy of a tidescale instance: it routes requests while the software behind it is being
-//! replaced, evaluates the new build by its own attempts, and votes to hold the rollout or to roll
-//! the build back. It does no I/O.
+//! Balancing and rollout policy of a tidescale instance. It routes requests while a new build
+//! replaces the previous one, evaluates the new build by the outcomes of its own attempts, and
+//! votes to hold the rollout or to roll the build back. The crate does no I/O.
 //!
 //! A host implements [`EventSource`] and [`host::DecisionSink`] and drives a [`Balancer`];
-//! [`settings`] and [`types`] are the values that cross this border, and [`snapshot`] has the
-//! records that survive a restart.
+//! [`settings`] and [`types`] define the values that the two exchange, and [`snapshot`] the records
+//! that are kept across a restart.
 //!
-//! Inside, there is a folder for each concern, with its state, its decisions and its tuned values
-//! behind one type. Each imports only modules above it in this list:
+//! Each concern has a module with its state, decisions and constants behind one type. A module
+//! imports only modules above it in this list:
 //!
-//! - `endpoints`: the table of endpoints and their load
+//! - `endpoints`: table of endpoints and their load
 //! - `requests`: open requests and their attempts
 //! - `health`: ejection, health checks, panic mode
 //! - `latency`: baseline latencies and slowdowns
 //! - `warm_up`: slow start
-//! - `retries`: idempotency, time-outs, hedged requests
+//! - `retries`: idempotency, timeouts, hedged requests
 //! - `admission`: concurrency limits, priorities, load shedding
-//! - `rollout`: evidence, evaluation, exposure, votes
+//! - `rollout`: evidence, evaluation, exposure of new builds, votes
 //! - `routing`: choice of an endpoint
-//! - `balancer`: puts the parts together
+//! - `balancer`: combines the modules above
 
 mod admission;
 mod balancer;
--- a/crates/policy/src/schedule.rs
+++ b/crates/policy/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When an instance polls, sweeps, evaluates and wakes up.
+//! Schedule of an instance's periodic work: polls, sweeps, evaluations and wake-ups.
 
 use std::time::Duration;
 
@@ -6,29 +6,30 @@
 
 use crate::types::Timestamp;
 
-/// Time between two evaluations of the build and of the endpoints' health.
+/// Interval between evaluations of the build and of the endpoints' health.
 pub(crate) const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
-/// Time-outs and missed objectives are noticed at most this late.
+/// Interval between sweeps for timeouts and missed latency objectives: the longest delay until one
+/// is noticed.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
-/// A step that comes later than this after its wake-up was delayed by a stall of the process.
+/// A step that runs later than this after its wake-up time is attributed to a stall of the process.
 const STALL_THRESHOLD: Duration = Duration::from_millis(100);
-/// After a failure the endpoint list is polled again after half to one and a half times this, in
-/// microseconds.
+/// Mean delay until the endpoint list is polled again after a failed poll, in microseconds. The
+/// delay is uniformly distributed between 0.5 and 1.5 times this value.
 const POLL_RETRY_MICROS: u64 = 1_000_000;
 
-/// When the periodic work of an instance is due.
+/// Times at which the periodic work of an instance is due.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
-    /// When the endpoint list is to be polled.
+    /// Time of the next poll of the endpoint list, if one is scheduled.
     poll_at: Option<Timestamp>,
     swept_at: Timestamp,
     evaluated_at: Timestamp,
-    /// The requested next step.
+    /// Time of the next step that was requested from the host.
     wake_up_at: Timestamp,
 }
 
 impl Schedule {
-    /// Of an instance that starts now.
+    /// The schedule of an instance that starts now.
     pub(crate) fn new(now: Timestamp, poll_endpoints: bool) -> Self {
         Schedule {
             poll_at: poll_endpoints.then_some(now),
@@ -38,22 +39,22 @@
         }
     }
 
-    /// A step at `now` comes so late that the process must have been stalled.
+    /// Whether a step at `now` is so late that the process must have been stalled.
     pub(crate) fn is_stalled(&self, now: Timestamp) -> bool {
         now > self.wake_up_at + STALL_THRESHOLD
     }
 
-    /// The requested next step.
+    /// Time of the next step that was requested from the host.
     pub(crate) fn wake_up_at(&self) -> Timestamp {
         self.wake_up_at
     }
 
-    /// Whether a poll is due; it counts as made.
+    /// Returns whether a poll is due and, if so, marks it as done.
     pub(crate) fn take_due_poll(&mut self, now: Timestamp) -> bool {
         self.poll_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// Whether a sweep is due; it counts as made.
+    /// Returns whether a sweep is due and, if so, marks it as done.
     pub(crate) fn take_due_sweep(&mut self, now: Timestamp) -> bool {
         let is_due = now >= self.swept_at + SWEEP_INTERVAL;
         if is_due {
@@ -62,7 +63,7 @@
         is_due
     }
 
-    /// Whether an evaluation is due; it counts as made.
+    /// Returns whether an evaluation is due and, if so, marks it as done.
     pub(crate) fn take_due_evaluation(&mut self, now: Timestamp) -> bool {
         let is_due = now >= self.evaluated_at + EVALUATION_INTERVAL;
         if is_due {
@@ -71,8 +72,8 @@
         is_due
     }
 
-    /// Schedules the next poll after a failed one. The delay is random, since a poll that has
-    /// failed has mostly failed for all instances simultaneously.
+    /// Schedules the next poll after a failed one. The delay is random, because a poll mostly fails
+    /// for all instances simultaneously and their retries would coincide.
     pub(crate) fn retry_poll(
         &mut self,
         max_interval: Duration,
@@ -84,8 +85,8 @@
         self.poll_at = Some(now + delay.min(max_interval));
     }
 
-    /// Notes the next step. Returns whether it must be requested, since none is that comes as
-    /// early.
+    /// Sets the time of the next step to `delay` from now, unless a step at that time or earlier is
+    /// already requested. Returns whether the host must be asked for the new step.
     pub(crate) fn update_wake_up(&mut self, delay: Duration, now: Timestamp) -> bool {
         let is_earlier = now >= self.wake_up_at || now + delay < self.wake_up_at;
         if is_earlier {
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,34 +1,35 @@
-//! What an instance keeps over a restart: the records that it saves to a [`SnapshotSink`] and that
-//! are restored later.
+//! Snapshot records: the state that an instance saves to a [`SnapshotSink`] and restores after a
+//! restart.
 //!
 //! Open requests, exposure, slow starts, concurrency limits and votes are neither saved nor
-//! restored: an instance that restarts has admitted nothing yet, and may send no more than one that
-//! knows nothing.
+//! restored: a restarted instance has admitted no requests yet, and may send no more than an
+//! instance without a snapshot.
 
 use std::time::Duration;
 
 use crate::statistics::{Dispersion, WeightedSum};
 use crate::types::{BuildNumber, EndpointState, RolloutPhase, StageIndex, Timestamp};
 
-/// For this long a restarted instance counts a build that was rejected before as suspect: its score
-/// counts as positive, so that the instance holds it at each stage as long as a hold may last.
+/// How long after the rejection of a build a restarted instance treats the build as suspect: its
+/// score counts as positive, so that the instance holds the build at each stage for as long as a
+/// hold may last.
 pub const REJECTION_LIFETIME: Duration = Duration::from_secs(60);
 
-/// A value for this instance's zone and one for all other zones.
+/// One value for this instance's zone and one for all other zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ByZone<T> {
-    /// Of this instance's zone.
+    /// Value for this instance's zone.
     pub own: T,
-    /// Of other zones.
+    /// Value for all other zones.
     pub other: T,
 }
 
-/// Decaying sums over responses of one route or of all routes.
+/// Decaying sums over the responses of one route or of all routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteLatency {
-    /// Latencies in microseconds.
+    /// Sum of the latencies in microseconds.
     pub latency: f64,
-    /// Costs of the requests.
+    /// Sum of the costs of the requests.
     pub cost: f64,
     /// Number of responses.
     pub responses: f64,
@@ -50,12 +51,12 @@
     }
 }
 
-/// Decaying sums over responses of one hardware class, as snapshots store them.
+/// Decaying sums over the responses of one hardware class, as stored in snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassLatency {
-    /// Slowdowns.
+    /// Sum of the slowdowns.
     pub slowdown: f64,
-    /// Requests in flight at the endpoint, including the measured one.
+    /// Sum of the requests in flight at the responding endpoint, including the measured one.
     pub load: f64,
     /// Number of responses.
     pub responses: f64,
@@ -77,85 +78,87 @@
     }
 }
 
-/// Slowdowns by zone: the sum of the slowdowns and the number of responses of each side.
+/// Sum of the slowdowns and number of responses, for this instance's zone and for all other zones.
 pub type ZoneSlowdownSums = ByZone<WeightedSum>;
 
-/// A listed endpoint, and what was learned of it.
+/// A listed endpoint and the statistics of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointRecord<'a> {
-    /// As the endpoint list names it.
+    /// Name in the endpoint list.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: &'a str,
-    /// Its cell within the zone.
+    /// Cell within the availability zone.
     pub cell: u64,
-    /// Its hardware class.
+    /// Hardware class.
     pub hardware_class: &'a str,
-    /// The build that it runs.
+    /// Build that the endpoint runs.
     pub build: BuildNumber,
-    /// Its state in the endpoint list.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// When its process started; `None` where it has run for longer than it takes to warm up.
+    /// Start time of the process; `None` if it has run for longer than the warm-up time.
     pub started_at: Option<Timestamp>,
-    /// Sum of its slowdowns (latencies against the route's baseline) and number of responses.
+    /// Sum of the slowdowns (latencies as multiples of the baseline) and number of responses.
     pub slowdown: WeightedSum,
-    /// Requests in flight that it last reported.
+    /// Requests in flight in the last load report.
     pub reported_load: f64,
-    /// When it reported that.
+    /// Time of the last load report.
     pub reported_at: Timestamp,
-    /// It is ejected.
+    /// Whether the endpoint is ejected.
     pub ejected: bool,
 }
 
-/// What was learned of the endpoints of one hardware class; `None` where a sum is not restored.
+/// Statistics of the endpoints of one hardware class. A sum that is `None` is not restored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HardwareClassRecord<'a> {
-    /// Its name in the endpoint list.
+    /// Name in the endpoint list.
     pub name: &'a str,
-    /// Sum of the requests in flight that its endpoints reported, and number of reports.
+    /// Sum of the requests in flight that the endpoints reported, and number of reports.
     pub load: Option<WeightedSum>,
     /// Sum of the slowdowns and number of responses.
     pub slowdown: Option<WeightedSum>,
-    /// The same while baselines were learned, with the load.
+    /// Sums of slowdowns, loads and responses over the responses that baselines were learned from.
     pub baseline: Option<ClassLatency>,
 }
 
-/// Baseline latency of one route, or of all routes together where none is named.
+/// Baseline latency of one route, or of all routes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteRecord<'a> {
-    /// The route's name.
+    /// Name of the route; `None` for all routes together.
     pub route: Option<&'a str>,
-    /// The sums behind the baseline.
+    /// Sums from which the baseline is computed.
     pub baseline: RouteLatency,
 }
 
-/// Outcomes of one endpoint under one build, for each test by its index.
+/// Outcomes of one endpoint under one build. Both slices are indexed by
+/// [`EvidenceTest::index`](crate::types::EvidenceTest::index).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutcomeRecord<'a> {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: &'a str,
-    /// The build that it ran.
+    /// Build that the endpoint ran.
     pub build: BuildNumber,
-    /// Outcomes.
+    /// Number of outcomes in each test.
     pub outcomes: &'a [f64],
-    /// Outcomes that count as failures.
+    /// Number of outcomes that each test counts as failures.
     pub failures: &'a [f64],
 }
 
-/// How slow the fleet was before the rollout that is in progress.
+/// Slowness of the fleet before the current rollout, the baseline of
+/// [`EvidenceTest::FleetSlowdown`](crate::types::EvidenceTest::FleetSlowdown).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetBaselineRecord {
-    /// When it was taken.
+    /// When the baseline was taken.
     pub taken_at: Timestamp,
-    /// Outcomes.
+    /// Number of outcomes.
     pub outcomes: f64,
-    /// Slow ones among them.
+    /// Number of slow ones among them.
     pub failures: f64,
-    /// How both are spread over the endpoints.
+    /// Dispersion of both counts over the endpoints.
     pub dispersion: Dispersion,
-    /// Endpoints in service.
+    /// Number of endpoints in service.
     pub endpoints: usize,
-    /// Attempts a second that this instance sent.
+    /// Attempts per second that this instance sent.
     pub attempts_per_second: f64,
 }
 
@@ -164,34 +167,34 @@
 pub struct RolloutRecord {
     /// The newest build.
     pub build: BuildNumber,
-    /// Stage of its evaluation.
+    /// Stage of the build's evaluation.
     pub stage: StageIndex,
-    /// Phase of its rollout.
+    /// Phase of the rollout.
     pub phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
+    /// Largest share of the requests that may be attempted at the build.
     pub traffic_cap: f64,
-    /// When stage and phase began.
+    /// When the current stage and phase began.
     pub since: Timestamp,
 }
 
-/// Takes the records that are kept over a restart; decaying sums are as of now.
+/// Receives the records of a snapshot. Decaying sums are as of the time of the call.
 pub trait SnapshotSink {
-    /// A listed endpoint.
+    /// Saves a listed endpoint.
     fn endpoint(&mut self, record: EndpointRecord<'_>);
-    /// A hardware class.
+    /// Saves a hardware class.
     fn hardware_class(&mut self, record: HardwareClassRecord<'_>);
-    /// A route, or all routes together.
+    /// Saves a route, or all routes together.
     fn route(&mut self, record: RouteRecord<'_>);
-    /// Outcomes of one endpoint under one build.
+    /// Saves the outcomes of one endpoint under one build.
     fn outcomes(&mut self, record: OutcomeRecord<'_>);
-    /// A build that was rejected.
+    /// Saves that a build was rejected.
     fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp);
-    /// The fleet before the rollout.
+    /// Saves the slowness of the fleet before the rollout.
     fn fleet_baseline(&mut self, record: FleetBaselineRecord);
-    /// Slowdowns of this instance's zone and of others.
+    /// Saves the slowdowns by zone.
     fn zones(&mut self, sums: ZoneSlowdownSums);
-    /// The latest build that has answered an idempotency key.
+    /// Saves the latest build that has answered an idempotency key.
     fn key_build(&mut self, key: &str, build: BuildNumber);
-    /// The newest build's rollout.
+    /// Saves the rollout of the newest build.
     fn rollout(&mut self, record: RolloutRecord);
 }
--- a/crates/policy/src/step_context.rs
+++ b/crates/policy/src/step_context.rs
@@ -1,4 +1,4 @@
-//! What every decision of a step may depend on beside the state of its own part.
+//! Context of a step, which the decisions of all modules share.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use crate::settings::Settings;
 use crate::types::Timestamp;
 
-/// Time, settings and random numbers of the current step.
+/// Time, settings and random number generator of the current step.
 #[derive(Debug)]
 pub(crate) struct StepContext {
     /// The time of the current step.
     pub(crate) now: Timestamp,
     /// When this instance started.
     pub(crate) started_at: Timestamp,
-    /// The step is late because the process was stalled (not scheduled): latencies measured across
-    /// the stall are ignored.
+    /// Whether the step is late because the process was stalled (not scheduled by the operating
+    /// system). Latencies measured across the stall are ignored.
     pub(crate) stalled: bool,
     /// The deployment's settings.
     pub(crate) settings: Settings,
-    /// Source of all random draws; seeded, so that a run can be repeated.
+    /// Source of all random draws; seeded, so that runs are reproducible.
     pub(crate) random: Rand64,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// How long this instance has run.
+    /// Time since this instance started.
     pub(crate) fn uptime(&self) -> Duration {
         self.now - self.started_at
     }
