--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints as discovery lists them, and their load.
+//! Table of the endpoints in the endpoint list, and their load.
 
 mod endpoint;
 mod load;
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -1,49 +1,50 @@
-//! One endpoint as discovery lists it.
+//! One endpoint of the endpoint list.
 
 use crate::types::{BuildNumber, EndpointIndex, EndpointState, HardwareClassIndex, Timestamp};
 
-/// The start of a process that no list has named yet: it differs from every other.
+/// Placeholder start time of an endpoint whose process is not yet known. It differs from every
+/// listed start time, so that the first entry for the endpoint counts as a new process.
 const UNKNOWN_PROCESS_START: Option<Timestamp> = Some(Timestamp::MAX);
 
-/// Tells a process from others under the same name.
+/// Identifies a process among those that have run under one endpoint name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Process {
-    /// The build that it runs.
+    /// Build that the process runs.
     pub(crate) build: BuildNumber,
-    /// When it started; `None` where it has run for longer than it takes to warm up.
+    /// Start time; `None` if the process has run for longer than the warm-up time.
     pub(crate) started_at: Option<Timestamp>,
 }
 
-/// An endpoint and its hardware class, for statistics that are kept of both.
+/// Indexes of an endpoint and of its hardware class, for statistics that are kept for both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointWithClass {
     /// The endpoint.
     pub(crate) index: EndpointIndex,
-    /// Its hardware class.
+    /// The hardware class of the endpoint.
     pub(crate) class: HardwareClassIndex,
 }
 
 /// One endpoint. Only [`EndpointTable`](super::EndpointTable) changes it.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
-    /// Its name in the endpoint list.
+    /// Name in the endpoint list.
     pub(crate) name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub(crate) zone: String,
-    /// It is in another zone than this instance.
+    /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
-    /// Endpoints of one hardware class are equally fast.
+    /// Hardware class; endpoints of one class are assumed to be equally fast.
     pub(crate) hardware_class: HardwareClassIndex,
-    /// Its cell within the zone.
+    /// Cell within the availability zone.
     pub(crate) cell: u64,
-    /// The process that runs there.
+    /// Process that runs at the endpoint.
     pub(crate) process: Process,
-    /// Whether it takes requests, as far as the list says.
+    /// State in the endpoint list.
     pub(crate) state: EndpointState,
 }
 
 impl Endpoint {
-    /// An endpoint of which only the name is known.
+    /// Creates an endpoint of which only the name is known.
     pub(super) fn new(name: &str) -> Endpoint {
         Endpoint {
             name: name.into(),
@@ -59,22 +60,22 @@
         }
     }
 
-    /// The build that it runs.
+    /// The build that the endpoint runs.
     pub(crate) fn build(&self) -> BuildNumber {
         self.process.build
     }
 
-    /// It takes new requests, as far as the list says.
+    /// Whether the endpoint takes new requests according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// The list names it.
+    /// Whether the endpoint is in the endpoint list.
     pub(crate) fn is_listed(&self) -> bool {
         self.state != EndpointState::Removed
     }
 
-    /// It is ready, and the process for which an attempt was chosen still runs there.
+    /// Whether the endpoint is ready and still runs this process, for which an attempt was chosen.
     pub(crate) fn still_runs(&self, process: Process) -> bool {
         self.is_ready() && self.process == process
     }
--- a/crates/policy/src/endpoints/load.rs
+++ b/crates/policy/src/endpoints/load.rs
@@ -1,74 +1,75 @@
-//! Load of endpoints: this instance's attempts in flight, and what endpoints report of requests
-//! from all instances.
+//! Load of endpoints: this instance's attempts in flight, and the endpoints' own reports, which
+//! include the requests of all instances.
 
 use super::endpoint::EndpointWithClass;
 use crate::indexed_table::IndexedTable;
 use crate::statistics::{DecayingMean, TimeConstant, WeightedSum};
 use crate::types::{EndpointIndex, HardwareClassIndex, LoadReport, Timestamp};
 
-/// Over what time the loads that the endpoints of a hardware class report are averaged.
+/// Averages the loads that the endpoints of a hardware class report.
 const CLASS_LOAD_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// How fast an endpoint's own report is replaced by the mean of its hardware class.
+/// Decay of an endpoint's last report towards the mean of its hardware class.
 const REPORT_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
-/// Keeps the mean of a class without reports finite.
+/// Lower bound of the divisor in the mean of a class, which avoids a division by zero while there
+/// are no reports.
 const MIN_REPORT_WEIGHT: f64 = 1e-9;
 
 /// The last load report of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReportedLoad {
-    /// Requests in flight there, from all instances.
+    /// Requests in flight at the endpoint, from all instances.
     pub(crate) in_flight: f64,
-    /// When it was reported.
+    /// When the report arrived.
     pub(crate) reported_at: Timestamp,
 }
 
-/// Requests that an endpoint executes.
+/// Estimated number of requests in flight at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointLoad {
-    /// As reported lately, and at least this instance's own.
+    /// Requests in flight according to recent reports, but at least this instance's own attempts.
     pub(crate) in_flight: f64,
-    /// Of one endpoint of its hardware class on average.
+    /// Mean of the reports from endpoints of the hardware class.
     pub(crate) class_mean: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadState {
-    /// This instance's attempts in flight there.
+    /// This instance's attempts in flight at the endpoint.
     in_flight: f64,
     reported: ReportedLoad,
 }
 
-/// Loads of all endpoints and the mean loads of the hardware classes.
+/// Loads of all endpoints, and mean loads of the hardware classes.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointLoads {
     endpoints: IndexedTable<EndpointIndex, LoadState>,
-    /// Sum and number of the reports.
+    /// Reported requests in flight, by hardware class.
     classes: IndexedTable<HardwareClassIndex, DecayingMean>,
 }
 
 impl EndpointLoads {
-    /// A new endpoint has taken this index.
+    /// Adds a new endpoint, replacing the state of any previous one with this index.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.endpoints.put(index, LoadState::default());
     }
 
-    /// Makes room for a hardware class unless it is known.
+    /// Adds a hardware class unless it is known.
     pub(crate) fn add_class(&mut self, class: HardwareClassIndex) {
         let without_reports = DecayingMean::new(CLASS_LOAD_TIME_CONSTANT);
         self.classes.put_if_absent(class, without_reports);
     }
 
-    /// Another process runs at an endpoint.
+    /// Records that a new process runs at an endpoint: discards the report of the previous one.
     pub(crate) fn record_process_start(&mut self, index: EndpointIndex) {
         self.endpoints[index].reported = ReportedLoad::default();
     }
 
-    /// An attempt has been sent to an endpoint.
+    /// Counts an attempt that has been sent to an endpoint.
     pub(crate) fn start_attempt(&mut self, index: EndpointIndex) {
         self.endpoints[index].in_flight += 1.0;
     }
 
-    /// An attempt at an endpoint has ended.
+    /// Removes an attempt that has ended from the count of its endpoint.
     pub(crate) fn end_attempt(&mut self, index: EndpointIndex) {
         self.endpoints[index].in_flight -= 1.0;
     }
@@ -78,12 +79,13 @@
         self.endpoints[index].in_flight
     }
 
-    /// The last report of an endpoint.
+    /// The last load report of an endpoint.
     pub(crate) fn reported(&self, index: EndpointIndex) -> ReportedLoad {
         self.endpoints[index].reported
     }
 
-    /// Records an endpoint's report of its load, for it and for its hardware class.
+    /// Records a load report for the endpoint and for its hardware class. The queue length stands
+    /// in for the requests in flight if only the former is reported.
     pub(crate) fn record_report(
         &mut self,
         endpoint: EndpointWithClass,
@@ -100,7 +102,8 @@
         self.classes[endpoint.class].add(in_flight, now);
     }
 
-    /// Load of an endpoint; an old report is replaced by the mean of its hardware class.
+    /// Estimates the load of an endpoint. As the last report ages, the estimate approaches the mean
+    /// of the hardware class.
     pub(crate) fn load(&mut self, endpoint: EndpointWithClass, now: Timestamp) -> EndpointLoad {
         let reports = self.classes[endpoint.class].read(now);
         let class_mean = reports.sum / reports.weight.max(MIN_REPORT_WEIGHT);
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Sum and number of the reports of a hardware class.
+    /// The sum and the number of the reports of a hardware class.
     pub(crate) fn class_reports(
         &mut self,
         class: HardwareClassIndex,
--- a/crates/policy/src/endpoints/table.rs
+++ b/crates/policy/src/endpoints/table.rs
@@ -1,7 +1,7 @@
-//! The table of endpoints and hardware classes, by index and by name.
+//! Table of endpoints and hardware classes, by index and by name.
 //!
-//! Bounded by [`EndpointTable::forget_unreferenced`]: names that are no longer listed and to which
-//! nothing refers are dropped, and their indexes are used again.
+//! [`EndpointTable::forget_unreferenced`] bounds its size: it drops names that are no longer listed
+//! and to which nothing refers, and their indexes are reused.
 
 use std::collections::BTreeMap;
 use std::ops::Index;
@@ -9,14 +9,14 @@
 use super::endpoint::{Endpoint, EndpointWithClass, Process};
 use crate::types::{BuildNumber, EndpointEntry, EndpointIndex, EndpointState, HardwareClassIndex};
 
-/// What an entry of the endpoint list has changed.
+/// Result of applying an entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointUpdate {
-    /// The endpoint and its hardware class, which may be new.
+    /// The endpoint and its hardware class, either of which may be new.
     pub(crate) endpoint: EndpointWithClass,
-    /// Its index was not in use before the entry.
+    /// Whether the endpoint was added to the table.
     pub(crate) is_new: bool,
-    /// Another process runs there than before.
+    /// Whether another process runs at the endpoint than before.
     pub(crate) is_new_process: bool,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl EndpointTable {
-    /// Takes one entry of the endpoint list.
+    /// Applies one entry of the endpoint list.
     pub(crate) fn update(&mut self, entry: &EndpointEntry<'_>, own_zone: &str) -> EndpointUpdate {
         let hardware_class = self.find_or_insert_class(entry.hardware_class);
         let existing = self.find(entry.name);
@@ -56,14 +56,14 @@
         }
     }
 
-    /// A complete list begins: endpoints that it does not name have been removed.
+    /// Marks all endpoints as removed, before a complete endpoint list is applied.
     pub(crate) fn mark_all_removed(&mut self) {
         for endpoint in &mut self.slots {
             endpoint.state = EndpointState::Removed;
         }
     }
 
-    /// Adds a name that is not known; it takes the first index that is free.
+    /// Adds an endpoint with a new name at the first free index.
     fn insert(&mut self, name: &str) -> EndpointIndex {
         let endpoint = Endpoint::new(name);
         let is_free = |index: &EndpointIndex| !self.is_in_use(*index);
@@ -77,7 +77,7 @@
         index
     }
 
-    /// Index of the hardware class of this name, known before or not.
+    /// The index of the hardware class of this name, which is added if it is not known.
     pub(crate) fn find_or_insert_class(&mut self, name: &str) -> HardwareClassIndex {
         let existing = self.classes.iter().position(|class| class == name);
         let position = existing.unwrap_or_else(|| {
@@ -87,28 +87,28 @@
         HardwareClassIndex::new(position)
     }
 
-    /// Indexes and names of all hardware classes.
+    /// The indexes and names of all hardware classes.
     pub(crate) fn classes(&self) -> impl Iterator<Item = (HardwareClassIndex, &str)> {
         let classes = self.classes.iter().enumerate();
         classes.map(|(position, name)| (HardwareClassIndex::new(position), name.as_str()))
     }
 
-    /// Name of a hardware class.
+    /// The name of a hardware class.
     pub(crate) fn class_name(&self, class: HardwareClassIndex) -> &str {
         &self.classes[class.get()]
     }
 
-    /// Number of indexes in use or free for another endpoint.
+    /// Number of indexes, in use or free.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Number of names that are known.
+    /// Number of known endpoint names.
     pub(crate) fn name_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// All indexes in their order, including those that are free for another endpoint.
+    /// All indexes in ascending order, including free ones.
     pub(crate) fn indexes(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         (0..self.slots.len()).map(EndpointIndex::new)
     }
@@ -118,47 +118,47 @@
         self.slots.iter()
     }
 
-    /// The same with their indexes.
+    /// All endpoints with their indexes, including removed ones.
     pub(crate) fn iter_indexed(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
         let slots = self.slots.iter().enumerate();
         slots.map(|(position, endpoint)| (EndpointIndex::new(position), endpoint))
     }
 
-    /// Endpoints that take new requests as far as the list says, with their indexes.
+    /// Endpoints that take new requests according to the endpoint list, with their indexes.
     pub(crate) fn ready(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
         self.iter_indexed()
             .filter(|(_, endpoint)| endpoint.is_ready())
     }
 
-    /// Index of the endpoint of this name.
+    /// The index of the endpoint of this name.
     pub(crate) fn find(&self, name: &str) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// An endpoint with its hardware class.
+    /// The index of an endpoint together with that of its hardware class.
     pub(crate) fn with_class(&self, index: EndpointIndex) -> EndpointWithClass {
         let class = self[index].hardware_class;
         EndpointWithClass { index, class }
     }
 
-    /// Whether this index still belongs to the name that is stored there.
+    /// Whether an index is in use: the name of the endpoint stored there still maps to it.
     pub(crate) fn is_in_use(&self, index: EndpointIndex) -> bool {
         self.find(&self[index].name) == Some(index)
     }
 
-    /// Position of an endpoint's name among all names, in their order.
+    /// Rank of an endpoint's name in the lexicographic order of all names, from 0.
     pub(crate) fn name_rank(&self, index: EndpointIndex) -> usize {
         let name = self[index].name.clone();
         self.by_name.range(..name).count()
     }
 
-    /// The oldest build that is listed.
+    /// The oldest build among the listed endpoints.
     pub(crate) fn oldest_listed_build(&self) -> Option<BuildNumber> {
         let listed = self.iter().filter(|endpoint| endpoint.is_listed());
         listed.map(Endpoint::build).min()
     }
 
-    /// Drops the names of endpoints that have been removed and are not referred to.
+    /// Drops the names of removed endpoints that nothing refers to, which frees their indexes.
     pub(crate) fn forget_unreferenced(&mut self, is_referenced: impl Fn(EndpointIndex) -> bool) {
         let slots = &self.slots;
         self.by_name
