--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -1,4 +1,4 @@
-//! Ejection and recovery of endpoints, and the health checks that decide on them.
+//! Ejection and recovery of endpoints, and their health checks.
 
 use std::time::Duration;
 
@@ -9,69 +9,71 @@
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, BuildNumber, EndpointIndex, Timestamp};
 
-/// Shortest time between two health checks of an ejected endpoint, and how long one may take. They
-/// are sent by the evaluation, so that the time between them is a multiple of its interval.
+/// Minimum interval between health checks of an ejected endpoint, and their timeout. The evaluation
+/// sends the checks, so the actual interval is a multiple of the evaluation interval.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(400);
-/// This number of refused connections, with no response between them, ejects an endpoint, however
-/// many are ejected already: it serves nothing.
+/// Number of refused connections without a response between them after which an endpoint is
+/// ejected. It applies however many endpoints are already ejected, because an endpoint that refuses
+/// connections serves no requests.
 const REFUSALS_TO_EJECT: u32 = 2;
-/// Unresponsive endpoints are ejected while fewer than one in this number of the ready ones is.
+/// An unresponsive endpoint is ejected only while fewer than one in this number of the ready
+/// endpoints is ejected.
 const READY_PER_EJECTED: usize = 3;
-/// Time between two trial requests to an endpoint while all endpoints are ejected.
+/// Minimum interval between trial requests to an endpoint in panic mode.
 const TRIAL_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an event has changed about an endpoint's health.
+/// Change of an endpoint's health that other modules must react to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
-    /// Nothing that concerns other parts.
+    /// No such change.
     None,
-    /// It was ejected and is in service again.
+    /// The endpoint was ejected and is in service again.
     ReturnedToService,
 }
 
 /// The outcome of an attempt or a health check at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointOutcome {
-    /// The endpoint.
+    /// Index of the endpoint.
     pub(crate) endpoint: EndpointIndex,
-    /// How the attempt or the health check ended.
+    /// Outcome of the attempt or the health check.
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// Endpoints in service by arm of an evaluation.
+/// Numbers of endpoints in service in the two arms of an evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InServiceCounts {
-    /// Of the newest build and later ones.
+    /// Endpoints of the newest build and later ones.
     pub(crate) candidate: usize,
-    /// Of earlier builds.
+    /// Endpoints of earlier builds.
     pub(crate) baseline: usize,
 }
 
 impl InServiceCounts {
-    /// Of all builds.
+    /// Endpoints of all builds.
     pub(crate) fn total(self) -> usize {
         self.candidate + self.baseline
     }
 }
 
-/// The health of all endpoints.
+/// Health of all endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct HealthChecker {
     endpoints: IndexedTable<EndpointIndex, EndpointHealth>,
 }
 
 impl HealthChecker {
-    /// A new endpoint has taken this index.
+    /// Adds a new endpoint, replacing the state of any previous one with this index.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         self.endpoints.put(index, EndpointHealth::default());
     }
 
-    /// Another process runs at an endpoint.
+    /// Records that a new process runs at an endpoint, which returns it to service.
     pub(crate) fn record_process_start(&mut self, index: EndpointIndex, now: Timestamp) {
         self.endpoints[index].record_process_start(now);
     }
 
-    /// The endpoint is ejected.
+    /// Whether the endpoint is ejected.
     pub(crate) fn is_ejected(&self, index: EndpointIndex) -> bool {
         self.endpoints[index].ejected
     }
@@ -81,13 +83,13 @@
         self.endpoints[index].last_response_at
     }
 
-    /// A health check of the endpoint is in flight.
+    /// Whether a health check of the endpoint is in flight.
     pub(crate) fn check_in_flight(&self, index: EndpointIndex) -> bool {
         self.endpoints[index].check_in_flight
     }
 
-    /// Endpoints that are ready and not ejected: those of `newest` and later builds, and those of
-    /// earlier ones.
+    /// Counts the endpoints that are ready and not ejected: those of the `newest` and later builds,
+    /// and those of earlier builds.
     pub(crate) fn in_service(
         &self,
         endpoints: &EndpointTable,
@@ -116,7 +118,7 @@
         ready.filter(|(index, _)| !self.is_ejected(*index)).count()
     }
 
-    /// Ready endpoints of a build that are ejected.
+    /// Number of ready endpoints of a build that are ejected.
     pub(crate) fn ejected_count(&self, endpoints: &EndpointTable, build: BuildNumber) -> usize {
         let of_build = endpoints
             .ready()
@@ -126,14 +128,16 @@
             .count()
     }
 
-    /// Panic mode: there are ready endpoints, and all of them are ejected.
+    /// Whether panic mode applies: there are ready endpoints, and all of them are ejected.
     pub(crate) fn all_ejected(&self, endpoints: &EndpointTable) -> bool {
         let mut ready = endpoints.ready().peekable();
         ready.peek().is_some() && ready.all(|(index, _)| self.is_ejected(index))
     }
 
-    /// In panic mode one request at a time tries each endpoint as a health check would: the fault
-    /// may lie with this instance, or with the health checks.
+    /// Whether a trial request may be sent to an ejected endpoint in panic mode: one at a time, and
+    /// no sooner than [`TRIAL_REQUEST_INTERVAL`] after its ejection or the previous one. Trial
+    /// requests supplement health checks because the fault may lie with this instance or with the
+    /// health checks.
     pub(crate) fn may_send_trial_request(
         &self,
         index: EndpointIndex,
@@ -144,7 +148,7 @@
         in_flight < 1.0 && now >= next_trial_at
     }
 
-    /// A request has been sent to an endpoint.
+    /// Records that an attempt has been sent; at an ejected endpoint it is a trial request.
     pub(crate) fn start_attempt(&mut self, index: EndpointIndex, now: Timestamp) {
         let health = &mut self.endpoints[index];
         if health.ejected {
@@ -152,13 +156,14 @@
         }
     }
 
-    /// An attempt has passed its latency objective, and its endpoint has not responded since it was
-    /// sent.
+    /// Marks an endpoint that has not responded since an attempt was sent that has now missed its
+    /// latency objective. The next evaluation may eject the endpoint.
     pub(crate) fn mark_unresponsive(&mut self, index: EndpointIndex) {
         self.endpoints[index].unresponsive = true;
     }
 
-    /// Records the outcome of an attempt for the health of its endpoint.
+    /// Records the outcome of an attempt for the health of its endpoint, which may eject the
+    /// endpoint or, in panic mode, return it to service.
     pub(crate) fn record_outcome(
         &mut self,
         ended: EndpointOutcome,
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Records the end of a health check.
+    /// Records the outcome of a health check, which may return the endpoint to service.
     pub(crate) fn record_check(
         &mut self,
         ended: EndpointOutcome,
@@ -206,8 +211,9 @@
         }
     }
 
-    /// Checks ejected endpoints, and ejects unresponsive ones. Errors do not eject an endpoint,
-    /// because the evaluation of its build needs them; they only make it less likely to be chosen.
+    /// Sends health checks to ejected endpoints, and ejects unresponsive ones. Errors do not eject
+    /// an endpoint, because the evaluation of its build needs their outcomes; they only make the
+    /// endpoint less likely to be chosen.
     pub(crate) fn check_endpoints(
         &mut self,
         endpoints: &EndpointTable,
@@ -234,8 +240,8 @@
         }
     }
 
-    /// Decides on a health check: none is sent while another is in flight. Returns the deadline of
-    /// the one that has to be sent.
+    /// Starts a health check unless one is already in flight. Returns the deadline of the check,
+    /// which the caller sends.
     pub(crate) fn start_check(
         &mut self,
         index: EndpointIndex,
@@ -250,7 +256,7 @@
         Some(now + HEALTH_CHECK_INTERVAL)
     }
 
-    /// Restores the ejection of an endpoint from a snapshot. It is checked immediately.
+    /// Restores the ejection of an endpoint from a snapshot. A health check is due immediately.
     pub(crate) fn restore_ejection(&mut self, index: EndpointIndex, now: Timestamp) {
         let health = &mut self.endpoints[index];
         health.eject(now);
--- a/crates/policy/src/health/endpoint_health.rs
+++ b/crates/policy/src/health/endpoint_health.rs
@@ -1,38 +1,41 @@
-//! Whether one endpoint responds.
+//! Health of one endpoint.
 
 use crate::types::Timestamp;
 
-/// Health checks that an endpoint must pass in a row at first, and while no endpoint is in service.
+/// Number of consecutive health checks that an endpoint must pass to return to service, initially
+/// and in panic mode.
 pub(super) const MIN_PASSES: u32 = 2;
-/// The number doubles with each return by health checks up to this: some endpoints pass health
-/// checks and fail requests.
+/// Upper bound of the required number of passes, which doubles with each return by health checks
+/// because some endpoints pass health checks and fail requests.
 const MAX_PASSES: u32 = 16;
 
-/// Whether one endpoint responds.
+/// Health of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EndpointHealth {
-    /// It takes no requests until health checks or a trial request show that it serves.
+    /// Whether the endpoint is ejected: it takes no requests until health checks or a trial request
+    /// show that it serves requests.
     pub(super) ejected: bool,
-    /// Connections that it refused in a row.
+    /// Refused connections since the last response or return to service.
     pub(super) consecutive_refusals: u32,
-    /// When it last responded to an attempt.
+    /// When the endpoint last responded to an attempt or returned to service.
     pub(super) last_response_at: Timestamp,
-    /// It let an attempt pass its latency objective and has not responded since.
+    /// Whether an attempt has missed its latency objective with no response from the endpoint since
+    /// it was sent.
     pub(super) unresponsive: bool,
-    /// A health check is in flight.
+    /// Whether a health check is in flight.
     pub(super) check_in_flight: bool,
-    /// When the last health check was sent.
+    /// When the last health check was sent or the endpoint was ejected, whichever was later.
     pub(super) last_check_at: Timestamp,
-    /// While ejected: since when, or when a request was last tried there.
+    /// When the last trial request was sent or the endpoint was ejected, whichever was later.
     pub(super) last_trial_request_at: Timestamp,
-    /// Health checks that it passed in a row.
+    /// Health checks passed in a row.
     pub(super) consecutive_passes: u32,
-    /// Health checks that it must pass in a row to return to service.
+    /// Health checks that the endpoint must pass in a row to return to service.
     passes_required: u32,
 }
 
 impl EndpointHealth {
-    /// Another process runs at the endpoint.
+    /// Records that a new process runs at the endpoint, which returns it to service.
     pub(super) fn record_process_start(&mut self, now: Timestamp) {
         self.return_to_service(now);
         self.passes_required = MIN_PASSES;
@@ -53,7 +56,7 @@
         self.consecutive_refusals = 0;
     }
 
-    /// Records the end of a health check. Returns whether the endpoint has returned to service.
+    /// Records the outcome of a health check. Returns whether the endpoint returns to service.
     pub(super) fn record_check(&mut self, passed: bool, panic_mode: bool, now: Timestamp) -> bool {
         self.check_in_flight = false;
         self.consecutive_passes = if passed {
