--- a/crates/policy/src/endpoints/load.rs
+++ b/crates/policy/src/endpoints/load.rs
@@ -6,9 +6,9 @@
 use crate::statistics::{DecayingMean, TimeConstant, WeightedSum};
 use crate::types::{EndpointIndex, HardwareClassIndex, LoadReport, Timestamp};
 
-/// Averages the loads that the endpoints of a hardware class report.
+/// Time constant of the mean load that the endpoints of a hardware class report.
 const CLASS_LOAD_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Decay of an endpoint's last report towards the mean of its hardware class.
+/// Time constant with which an endpoint's last report gives way to the mean of its hardware class.
 const REPORT_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
 /// Lower bound of the divisor in the mean of a class, which avoids a division by zero while there
 /// are no reports.
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,5 +1,5 @@
-//! Latency of routes and endpoints: baselines, and how far endpoints, hardware classes and zones
-//! deviate from them.
+//! Latency of requests: baselines by route, and slowdowns of endpoints, hardware classes and zones
+//! relative to them.
 
 mod estimate;
 mod model;
--- a/crates/policy/src/latency/estimate.rs
+++ b/crates/policy/src/latency/estimate.rs
@@ -1,46 +1,46 @@
-//! The work of a request, and how long it is estimated to take.
+//! The work of a request, and estimates of its latency.
 
 use std::time::Duration;
 
 use crate::types::{RouteIndex, fractional_micros};
 
-/// The work of a request, as far as its latency depends on it.
+/// The properties of a request that determine its expected latency.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestWork {
-    /// Its route.
+    /// Route of the request.
     pub(crate) route: RouteIndex,
-    /// Its cost.
+    /// Cost of the request.
     pub(crate) cost: f64,
 }
 
-/// An estimated latency, with fractions of a microsecond.
+/// An estimated latency, in microseconds and fractions of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct LatencyEstimate {
     micros: f64,
 }
 
 impl LatencyEstimate {
-    /// Longer than any other.
+    /// A latency longer than any other; stands for an unknown latency.
     pub(crate) const INFINITE: LatencyEstimate = LatencyEstimate {
         micros: f64::INFINITY,
     };
 
-    /// An estimate in microseconds.
+    /// Creates an estimate from microseconds.
     pub(crate) const fn from_micros(micros: f64) -> LatencyEstimate {
         LatencyEstimate { micros }
     }
 
-    /// In microseconds.
+    /// The estimate in microseconds.
     pub(crate) const fn as_micros(self) -> f64 {
         self.micros
     }
 
-    /// The ratio of a measured latency to this one.
+    /// The ratio of a measured latency to this estimate.
     pub(crate) fn ratio_of(self, measured: Duration) -> f64 {
         fractional_micros(measured) / self.micros
     }
 
-    /// This estimate times a factor.
+    /// This estimate multiplied by a factor.
     pub(crate) fn scaled(self, factor: f64) -> LatencyEstimate {
         LatencyEstimate {
             micros: self.micros * factor,
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -1,7 +1,8 @@
-//! All that this instance has learned of latencies.
+//! Latency model: baselines and slowdowns that this instance has measured.
 //!
-//! A *slowdown* is a latency as a multiple of the baseline latency of its route and cost. It is
-//! averaged for each endpoint, each hardware class and each zone.
+//! A *slowdown* is a latency as a multiple of the baseline latency for the route and the cost of
+//! the request. Slowdowns are averaged by endpoint, by hardware class, and over this instance's
+//! zone and the other zones.
 
 use std::time::Duration;
 
@@ -14,58 +15,57 @@
 use crate::statistics::{DecayingMean, DecayingSums, TimeConstant, WeightedSum};
 use crate::types::{EndpointIndex, HardwareClassIndex, RouteIndex, Timestamp};
 
-/// Over what time slowdowns are averaged.
+/// Time constant of the mean slowdowns of endpoints and hardware classes.
 const SLOWDOWN_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Baselines of hardware classes change as slowly as those of routes.
+/// Time constant of the baselines of hardware classes; the same as for routes.
 const BASELINE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(30);
-/// Responses at the baseline that a hardware class starts with, and at the mean of its class that
-/// an endpoint starts with.
+/// Weight of the prior of mean slowdowns, in responses. The prior of a hardware class is the
+/// baseline, that of an endpoint is the mean of its class.
 const PRIOR_RESPONSES: f64 = 2.0;
-/// An attempt that fails counts as a response of this slowdown: a response is expected to take a
-/// quarter of its latency objective, and a failed attempt counts as all of it.
+/// Slowdown that a failed attempt counts as. A response is expected to take a quarter of its
+/// latency objective, and a failed attempt counts as taking the whole objective.
 const FAILURE_SLOWDOWN: f64 = 4.0;
 
-/// A measured latency.
+/// A measured latency and the conditions of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencySample {
     /// The endpoint that responded.
     pub(crate) endpoint: EndpointWithClass,
-    /// It is in another zone than this instance.
+    /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
-    /// The work that was done.
+    /// Work of the request.
     pub(crate) work: RequestWork,
-    /// How long it took.
+    /// The measured latency.
     pub(crate) latency: Duration,
     /// Requests in flight at the endpoint, including the measured one.
     pub(crate) endpoint_load: f64,
 }
 
-/// Whether a latency may change the baselines.
+/// Whether a latency sample may change the baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BaselineLearning {
-    /// No: the endpoint warms up, or its build is under evaluation.
+    /// Never, because the endpoint is warming up or its build is under evaluation.
     Never,
-    /// Only while no baseline is known: the fleet is not steady.
+    /// Only while no baseline is known, because the fleet is not steady.
     IfUnknown,
-    /// Yes.
+    /// Always.
     Always,
 }
 
-/// How long a response usually takes on endpoints of one hardware class, and at which load that was
-/// learned.
+/// Baseline latency on endpoints of one hardware class, and the load at which it was measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ClassBaseline {
-    /// The latency.
+    /// Baseline latency.
     pub(crate) latency: LatencyEstimate,
-    /// Requests in flight at the endpoint, including the measured one.
+    /// Mean number of requests in flight at the endpoint, including the measured one.
     pub(crate) load: f64,
 }
 
-/// Latencies of the endpoints of one hardware class.
+/// Statistics of the endpoints of one hardware class.
 #[derive(Clone, Copy, Debug)]
 struct ClassState {
     slowdown: DecayingMean,
-    /// The sums of [`ClassLatency`], learned as baselines are.
+    /// The sums of [`ClassLatency`], over the responses that baselines are learned from.
     baseline: DecayingSums<3>,
 }
 
@@ -77,14 +77,14 @@
         }
     }
 
-    /// The mean slowdown of its endpoints.
+    /// The mean slowdown of the endpoints of the class.
     fn mean_slowdown(&mut self, now: Timestamp) -> f64 {
         let sums = self.slowdown.read(now);
         sums.mean_with_prior(1.0, PRIOR_RESPONSES)
     }
 }
 
-/// All that this instance has learned of latencies.
+/// Baselines and slowdowns that this instance has measured.
 #[derive(Debug)]
 pub(crate) struct LatencyModel {
     routes: RouteBaselines,
@@ -94,7 +94,7 @@
 }
 
 impl LatencyModel {
-    /// Nothing is known yet of this number of routes.
+    /// Creates a model without measurements, for this number of routes.
     pub(crate) fn new(routes: usize) -> LatencyModel {
         LatencyModel {
             routes: RouteBaselines::new(routes),
@@ -104,23 +104,24 @@
         }
     }
 
-    /// A new endpoint has taken this index.
+    /// Adds a new endpoint, replacing the state of any previous one with this index.
     pub(crate) fn add_endpoint(&mut self, index: EndpointIndex) {
         let unknown = DecayingMean::new(SLOWDOWN_TIME_CONSTANT);
         self.endpoints.put(index, unknown);
     }
 
-    /// Makes room for a hardware class unless it is known.
+    /// Adds a hardware class unless it is known.
     pub(crate) fn add_class(&mut self, class: HardwareClassIndex) {
         self.classes.put_if_absent(class, ClassState::new());
     }
 
-    /// Forgets the slowdown of an endpoint, which has returned to service or started anew.
+    /// Clears the slowdown of an endpoint that has returned to service or runs a new process.
     pub(crate) fn clear_slowdown(&mut self, index: EndpointIndex) {
         self.endpoints[index].clear();
     }
 
-    /// Records the latency of a response, or of an attempt whose response may be lost.
+    /// Records the latency of a response, or the duration of an attempt whose response may have
+    /// been lost.
     pub(crate) fn record(
         &mut self,
         sample: &LatencySample,
@@ -152,12 +153,12 @@
         }
     }
 
-    /// Records that an attempt has failed, so that its endpoint is less likely to be chosen.
+    /// Records a failed attempt, which makes its endpoint less likely to be chosen.
     pub(crate) fn record_failure(&mut self, index: EndpointIndex, now: Timestamp) {
         self.endpoints[index].add(FAILURE_SLOWDOWN, now);
     }
 
-    /// The baseline latency of this work, where enough is known.
+    /// The baseline latency of this work, if there are enough measurements.
     pub(crate) fn expected_latency(
         &mut self,
         work: RequestWork,
@@ -166,7 +167,7 @@
         self.routes.expected_latency(work, now)
     }
 
-    /// The baseline latency of each route for one unit of cost, infinite where it is not known.
+    /// The baseline latency of each route for one unit of cost; infinite if it is not known.
     pub(crate) fn expected_latency_per_cost(
         &mut self,
         now: Timestamp,
@@ -174,12 +175,13 @@
         self.routes.expected_latency_per_cost(now)
     }
 
-    /// Responses of all routes together, as of the last reading.
+    /// The decayed number of responses of all routes together, as of the last reading.
     pub(crate) fn response_count(&self) -> f64 {
         self.routes.response_count()
     }
 
-    /// How long this work usually takes on endpoints of a hardware class, where enough is known.
+    /// The baseline of this work on endpoints of a hardware class, if there are enough
+    /// measurements.
     pub(crate) fn class_baseline(
         &mut self,
         class: HardwareClassIndex,
@@ -196,7 +198,7 @@
         })
     }
 
-    /// How long work of this baseline latency takes at present, by hardware class.
+    /// The current latency of work with this baseline latency, by hardware class.
     pub(crate) fn expected_latency_by_class(
         &mut self,
         baseline: LatencyEstimate,
@@ -211,29 +213,29 @@
         IndexedTable::from_values(estimates.collect())
     }
 
-    /// Slowdown of an endpoint at present.
+    /// The current slowdown of an endpoint.
     pub(crate) fn slowdown(&mut self, endpoint: EndpointWithClass, now: Timestamp) -> f64 {
         let of_class = self.classes[endpoint.class].mean_slowdown(now);
         let own = self.endpoints[endpoint.index].read(now);
         own.mean_with_prior(of_class, PRIOR_RESPONSES)
     }
 
-    /// Mean slowdowns of this instance's zone and of the others.
+    /// The mean slowdowns of this instance's zone and of the other zones.
     pub(crate) fn zone_slowdowns(&mut self, now: Timestamp) -> ByZone<f64> {
         self.zones.means(now)
     }
 }
 
-/// The sums of one hardware class, as snapshots store them.
+/// The sums of one hardware class, as stored in snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassLatencyRecord {
-    /// Sum of the slowdowns and number of responses.
+    /// Sum of the current slowdowns and number of responses.
     pub(crate) slowdown: WeightedSum,
-    /// The same while baselines were learned.
+    /// Sums over the responses that baselines were learned from.
     pub(crate) baseline: ClassLatency,
 }
 
-/// Reading and restoring the sums for snapshots.
+/// Saving and restoring the sums in snapshots.
 impl LatencyModel {
     /// The sums of an endpoint.
     pub(crate) fn endpoint_sums(&mut self, index: EndpointIndex, now: Timestamp) -> WeightedSum {
@@ -283,7 +285,7 @@
         self.classes[class].baseline.set(sums.into(), now);
     }
 
-    /// The sums of one route, or of all routes together, if the route is known.
+    /// The sums of one route, or of all routes together; `None` if the route is unknown.
     pub(crate) fn route_sums(
         &mut self,
         route: Option<RouteIndex>,
@@ -305,7 +307,7 @@
         }
     }
 
-    /// The sums of this instance's zone and of the others.
+    /// The sums of this instance's zone and of the other zones.
     pub(crate) fn zone_sums(&mut self, now: Timestamp) -> ZoneSlowdownSums {
         self.zones.read(now)
     }
--- a/crates/policy/src/latency/route_baselines.rs
+++ b/crates/policy/src/latency/route_baselines.rs
@@ -1,4 +1,4 @@
-//! Baseline latency by route: how long a request of a given cost takes on a healthy fleet.
+//! Baseline latency by route: the latency of a request of a given cost on a healthy fleet.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 use crate::statistics::{DecayingSums, TimeConstant};
 use crate::types::{RouteIndex, Timestamp, fractional_micros};
 
-/// Baselines change slowly, so that one does not follow a fleet that degrades.
+/// Time constant of the baselines. It is long, so that a baseline does not follow a fleet that
+/// degrades.
 const TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(30);
-/// Responses of all routes together that are needed for an estimate; a route of its own starts
-/// with as many at the mean of all routes.
+/// Number of responses, of all routes together, that an estimate needs. It is also the weight of
+/// the mean of all routes as the prior for a single route.
 const MIN_RESPONSES: f64 = 5.0;
 
-/// Latencies by route, and of all routes together, which stand in where few are known of one.
+/// Latencies by route, and of all routes together as the prior for routes with few responses.
 #[derive(Debug)]
 pub(super) struct RouteBaselines {
     routes: IndexedTable<RouteIndex, DecayingSums<3>>,
@@ -21,7 +22,7 @@
 }
 
 impl RouteBaselines {
-    /// Nothing is known yet of this number of routes.
+    /// Creates baselines without measurements, for this number of routes.
     pub(super) fn new(routes: usize) -> RouteBaselines {
         let unknown = DecayingSums::new(TIME_CONSTANT);
         RouteBaselines {
@@ -37,7 +38,7 @@
         self.routes[work.route].add(values, now);
     }
 
-    /// The baseline latency of this work, where enough is known.
+    /// The baseline latency of this work, if there are enough measurements.
     pub(super) fn expected_latency(
         &mut self,
         work: RequestWork,
@@ -54,7 +55,7 @@
         Some(LatencyEstimate::from_micros(micros))
     }
 
-    /// The baseline latency of each route for one unit of cost, infinite where it is not known.
+    /// The baseline latency of each route for one unit of cost; infinite if it is not known.
     pub(super) fn expected_latency_per_cost(
         &mut self,
         now: Timestamp,
@@ -67,13 +68,13 @@
         IndexedTable::from_values(estimates.collect())
     }
 
-    /// Responses of all routes together, as of the last reading.
+    /// The decayed number of responses of all routes together, as of the last reading.
     pub(super) fn response_count(&self) -> f64 {
         let [_, _, responses] = self.all_routes.last_read();
         responses
     }
 
-    /// The sums of one route, or of all routes together, if the route is known.
+    /// The sums of one route, or of all routes together; `None` if the route is unknown.
     pub(super) fn sums_mut(&mut self, route: Option<RouteIndex>) -> Option<&mut DecayingSums<3>> {
         match route {
             Some(route) => self.routes.get_mut(route),
--- a/crates/policy/src/latency/zones.rs
+++ b/crates/policy/src/latency/zones.rs
@@ -1,22 +1,22 @@
-//! Slowdown of this instance's zone against that of other zones.
+//! Mean slowdowns of this instance's zone and of the other zones.
 
 use crate::snapshot::{ByZone, ZoneSlowdownSums};
 use crate::statistics::{DecayingMean, TimeConstant};
 use crate::types::Timestamp;
 
-/// Over what time slowdowns of zones are averaged.
+/// Time constant of the mean slowdowns of zones.
 const TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Responses at the baseline that each side starts with.
+/// Weight of the baseline as the prior of both means, in responses.
 const PRIOR_RESPONSES: f64 = 5.0;
 
-/// Latencies against the baseline, by zone.
+/// Slowdowns of this instance's zone and of the other zones.
 #[derive(Debug)]
 pub(super) struct ZoneSlowdowns {
     sums: ByZone<DecayingMean>,
 }
 
 impl ZoneSlowdowns {
-    /// Nothing is known yet.
+    /// Creates slowdowns without measurements.
     pub(super) fn new() -> ZoneSlowdowns {
         let unknown = DecayingMean::new(TIME_CONSTANT);
         ZoneSlowdowns {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Records a latency as a multiple of the baseline.
+    /// Records the slowdown of a response.
     pub(super) fn record(&mut self, in_other_zone: bool, slowdown: f64, now: Timestamp) {
         let zone = if in_other_zone {
             &mut self.sums.other
@@ -37,7 +37,7 @@
         zone.add(slowdown, now);
     }
 
-    /// The mean slowdowns.
+    /// The mean slowdowns, including the prior.
     pub(super) fn means(&mut self, now: Timestamp) -> ByZone<f64> {
         let sums = self.read(now);
         ByZone {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sums of the slowdowns and numbers of responses.
+    /// The sums of the slowdowns and the numbers of responses.
     pub(super) fn read(&mut self, now: Timestamp) -> ZoneSlowdownSums {
         ByZone {
             own: self.sums.own.read(now),
