--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -175,8 +175,8 @@
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let ends_panic_mode = succeeded && self.all_ejected(endpoints);
         let health = &mut self.endpoints[endpoint];
-        let returns = ends_panic_mode && health.ejected;
-        if returns {
+        let returns_to_service = ends_panic_mode && health.ejected;
+        if returns_to_service {
             health.return_to_service(now);
         }
         if outcome.is_response() {
@@ -188,7 +188,7 @@
         if refuses && context.settings.health_checks && !health.ejected {
             health.eject(now);
         }
-        if returns {
+        if returns_to_service {
             HealthChange::ReturnedToService
         } else {
             HealthChange::None
--- a/crates/policy/src/health/endpoint_health.rs
+++ b/crates/policy/src/health/endpoint_health.rs
@@ -69,11 +69,11 @@
         } else {
             self.passes_required
         };
-        let returns = self.ejected && self.consecutive_passes >= required;
-        if returns {
+        let returns_to_service = self.ejected && self.consecutive_passes >= required;
+        if returns_to_service {
             self.return_to_service(now);
             self.passes_required = (self.passes_required * 2).min(MAX_PASSES);
         }
-        returns
+        returns_to_service
     }
 }
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -215,9 +215,9 @@
 
     /// The current slowdown of an endpoint.
     pub(crate) fn slowdown(&mut self, endpoint: EndpointWithClass, now: Timestamp) -> f64 {
-        let of_class = self.classes[endpoint.class].mean_slowdown(now);
+        let class_mean = self.classes[endpoint.class].mean_slowdown(now);
         let own = self.endpoints[endpoint.index].read(now);
-        own.mean_with_prior(of_class, PRIOR_RESPONSES)
+        own.mean_with_prior(class_mean, PRIOR_RESPONSES)
     }
 
     /// The mean slowdowns of this instance's zone and of the other zones.
--- a/crates/policy/src/schedule.rs
+++ b/crates/policy/src/schedule.rs
@@ -72,8 +72,9 @@
         is_due
     }
 
-    /// Schedules the next poll after a failed one. The delay is random, because a poll mostly fails
-    /// for all instances simultaneously and their retries would coincide.
+    /// Schedules the next poll after a failed one, at most `max_interval` from now. The delay is
+    /// random, because a failed poll has usually failed for all instances simultaneously and their
+    /// retries would coincide.
     pub(crate) fn retry_poll(
         &mut self,
         max_interval: Duration,
