--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -21,7 +21,7 @@
     TooLong,
     /// Not valid JSON, or a field is missing or invalid.
     #[error(transparent)]
-    Form(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
 }
 
 /// A list of endpoints, or those that have changed.
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -61,9 +61,9 @@
         let policy = &mut *context.policy;
         self.stream.serve(context.io, |line, partial, _| {
             if event::add_line(partial, line)? {
-                let announced = announce(partial, policy);
+                let applied = apply_event(partial, policy);
                 partial.clear();
-                announced?;
+                applied?;
             }
             Ok::<(), LineError>(())
         });
@@ -75,7 +75,7 @@
 /// # Errors
 ///
 /// The event is invalid; it may have been a change of the rollout status.
-pub fn announce(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
+pub fn apply_event(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
     match Event::parse(lines)? {
         Event::Status(status) => status.apply(policy),
         Event::AnswerFlagged { endpoint, age } => policy.on_answer_flagged(&endpoint, age),
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -17,7 +17,7 @@
 pub enum EventError {
     /// A line in an unknown format, or an unknown kind of event.
     #[error("not an event: {0}")]
-    Form(String),
+    UnknownFormat(String),
     /// The data of a rollout status is invalid.
     #[error("not a rollout status: {0}")]
     Status(String),
@@ -149,7 +149,7 @@
                 Some(("event", value)) => kind = value.trim(),
                 Some(("data", value)) => data = value.trim(),
                 Some(("id" | "retry" | "", _)) => {}
-                _ => return Err(EventError::Form(line.into())),
+                _ => return Err(EventError::UnknownFormat(line.into())),
             }
         }
         let fields: Vec<_> = form_urlencoded::parse(data.as_bytes()).collect();
@@ -166,7 +166,7 @@
             "flag" => flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
             "tally" => Ok(Event::Other),
             "" if data.is_empty() => Ok(Event::Other),
-            _ => Err(EventError::Form(kind.into())),
+            _ => Err(EventError::UnknownFormat(kind.into())),
         }
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -39,7 +39,7 @@
 
 pub use exchange::NewExchange;
 pub use outcomes::{
-    AnswerError, AttemptError, AttemptErrorCause, RequestProgress, outcome_of_sqlstate,
+    AttemptError, AttemptErrorCause, RequestProgress, ResponseError, outcome_of_sqlstate,
 };
 
 /// What distinguishes a process from another one under the same endpoint name.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -4,7 +4,7 @@
 
 use super::ProcessIdentity;
 use super::exchange::{Exchange, HealthCheckQuery, Job};
-use super::outcomes::{AnswerError, RequestProgress};
+use super::outcomes::{RequestProgress, ResponseError};
 use crate::connection::Connection;
 use crate::load_report;
 use crate::postgres::framing::MESSAGE_HEAD;
@@ -144,15 +144,15 @@
         frame: Frame<EndpointMessage>,
         body: &mut Vec<u8>,
         health_check: HealthCheckQuery,
-    ) -> Result<(), AnswerError> {
+    ) -> Result<(), ResponseError> {
         body.clear();
         self.connection.input.copy(MESSAGE_HEAD..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
-            _ => return Err(AnswerError::Unrequested),
+            _ => return Err(ResponseError::Unrequested),
         };
         if exchange.next_part != frame.kind {
-            return Err(AnswerError::OutOfOrder);
+            return Err(ResponseError::OutOfOrder);
         }
         match frame.kind {
             EndpointMessage::RowDescription => {
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -7,7 +7,7 @@
 
 use super::connection::EndpointConnection;
 use super::exchange::{EndedExchange, Exchange, Job};
-use super::outcomes::{AnswerError, AttemptError, AttemptErrorCause};
+use super::outcomes::{AttemptError, AttemptErrorCause, ResponseError};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::clients::Clients;
 use crate::ids::EndpointConnectionKey;
@@ -90,7 +90,7 @@
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
     ) {
-        let cause = AttemptErrorCause::Malformed(AnswerError::Panicked);
+        let cause = AttemptErrorCause::Malformed(ResponseError::Panicked);
         self.fail(key, cause, context);
     }
 
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -32,7 +32,7 @@
 
 /// Why an endpoint's message is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// Endpoints may not send such a message.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
@@ -61,7 +61,7 @@
     ConnectionClosed,
     /// The endpoint sent an invalid message.
     #[error("{0}")]
-    Malformed(#[source] AnswerError),
+    Malformed(#[source] ResponseError),
     /// A deadline has expired.
     #[error("no answer in time")]
     TimedOut,
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -7,7 +7,7 @@
 
 use super::connection::EndpointConnection;
 use super::exchange::Job;
-use super::outcomes::{AnswerError, AttemptErrorCause, is_known_sqlstate, outcome_of_sqlstate};
+use super::outcomes::{AttemptErrorCause, ResponseError, is_known_sqlstate, outcome_of_sqlstate};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::buffers::Fill;
 use crate::context::IoContext;
@@ -87,7 +87,7 @@
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
-    ) -> Result<QueryReadiness, AnswerError> {
+    ) -> Result<QueryReadiness, ResponseError> {
         let mut body = Vec::new();
         let mut readiness = QueryReadiness::NotReady;
         while let Some(connection) = self.connections.get_mut(key) {
@@ -115,7 +115,7 @@
         frame: Frame<EndpointMessage>,
         body: &mut Vec<u8>,
         context: &IoContext,
-    ) -> Result<(), AnswerError> {
+    ) -> Result<(), ResponseError> {
         let health_check = self.health_check_query();
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
@@ -151,13 +151,13 @@
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
-    ) -> Result<QueryReadiness, AnswerError> {
+    ) -> Result<QueryReadiness, ResponseError> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(QueryReadiness::NotReady);
         };
         if !connection.is_connecting() {
             return if connection.open_exchange().is_some() {
-                Err(AnswerError::Missing)
+                Err(ResponseError::Missing)
             } else {
                 Ok(QueryReadiness::Ready)
             };
@@ -204,7 +204,7 @@
     connection: &mut EndpointConnection,
     body: &[u8],
     context: &IoContext,
-) -> Result<(), AnswerError> {
+) -> Result<(), ResponseError> {
     let error = postgres::error(body)?;
     if !is_known_sqlstate(&error.code) {
         log_lines::unknown_endpoint_error(&context.log, &connection.endpoint, &error);
