--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 use crate::upstream::{EndpointListing, ProcessIdentity};
 
 /// The longest list, in bytes.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a list cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -134,7 +134,7 @@
     partial.push_str(line);
     partial.push('\n');
     if !ends_object(line, partial) {
-        return if partial.len() > MAX_LIST {
+        return if partial.len() > MAX_LIST_BYTES {
             Err(EndpointListError::TooLong)
         } else {
             Ok(None)
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -4,13 +4,13 @@
 use crate::buffers::Chain;
 
 /// The longest head of a response, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Most headers of a response.
 const MAX_HEADERS: usize = 32;
 /// The longest line with the size of a chunk, in bytes.
-const MAX_CHUNK_SIZE_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 /// Most bytes of a body that may be buffered.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const CRLF: &[u8] = b"\r\n";
 
 /// Why a response is invalid.
@@ -162,7 +162,7 @@
     /// Moves up to `wanted` bytes to the body. Returns how many are still missing.
     fn read_body(&mut self, input: &mut Chain, wanted: usize) -> Result<usize, HttpError> {
         let available = wanted.min(input.len());
-        if self.body.len() + available > MAX_BODY {
+        if self.body.len() + available > MAX_BODY_BYTES {
             return Err(HttpError::BodyTooLong);
         }
         input.copy(0..available, &mut self.body);
@@ -171,12 +171,12 @@
     }
 
     fn read_head(&mut self, input: &mut Chain) -> Result<Progress, HttpError> {
-        let bytes = peek(input, MAX_HEAD);
+        let bytes = peek(input, MAX_HEAD_BYTES);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let head_length = match head.parse(&bytes) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD => {
+            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => {
                 return Ok(Progress::NeedsInput);
             }
             _ => return Err(HttpError::InvalidHead),
@@ -191,7 +191,7 @@
     }
 
     fn read_chunk_size(&mut self, input: &mut Chain) -> Result<Progress, HttpError> {
-        let line = peek(input, MAX_CHUNK_SIZE_LINE);
+        let line = peek(input, MAX_CHUNK_SIZE_LINE_BYTES);
         match httparse::parse_chunk_size(&line) {
             Ok(httparse::Status::Complete((line_length, 0))) => {
                 input.skip(line_length);
@@ -202,7 +202,7 @@
                 let remaining = size as usize;
                 Ok(self.enter(State::Chunk { remaining }))
             }
-            Ok(httparse::Status::Partial) if line.len() < MAX_CHUNK_SIZE_LINE => {
+            Ok(httparse::Status::Partial) if line.len() < MAX_CHUNK_SIZE_LINE_BYTES => {
                 Ok(Progress::NeedsInput)
             }
             _ => Err(HttpError::InvalidChunkSize),
@@ -221,11 +221,11 @@
     }
 
     fn read_trailer_line(&mut self, input: &mut Chain) -> Result<Progress, HttpError> {
-        let bytes = peek(input, MAX_HEAD);
+        let bytes = peek(input, MAX_HEAD_BYTES);
         let mut parts = bytes.splitn(2, |byte| *byte == b'\n');
         let line = parts.next().unwrap_or_default();
         if parts.next().is_none() {
-            return if bytes.len() < MAX_HEAD {
+            return if bytes.len() < MAX_HEAD_BYTES {
                 Ok(Progress::NeedsInput)
             } else {
                 Err(HttpError::TrailerTooLong)
@@ -245,14 +245,14 @@
     /// # Errors
     ///
     /// The lines are not UTF-8; none of them is passed on.
-    pub fn take_lines(&mut self, mut each: impl FnMut(&str)) -> Result<(), HttpError> {
+    pub fn take_lines(&mut self, mut on_line: impl FnMut(&str)) -> Result<(), HttpError> {
         let Some(end) = self.body.iter().rposition(|byte| *byte == b'\n') else {
             return Ok(());
         };
         let whole_lines = self.body.get(..end).unwrap_or_default();
         let text = std::str::from_utf8(whole_lines).map_err(|_| HttpError::NotUtf8)?;
         for line in text.split('\n') {
-            each(line.strip_suffix('\r').unwrap_or(line));
+            on_line(line.strip_suffix('\r').unwrap_or(line));
         }
         self.body.drain(..=end);
         Ok(())
@@ -268,7 +268,7 @@
         let remaining: usize = length
             .parse()
             .map_err(|_| HttpError::InvalidContentLength)?;
-        if remaining > MAX_BODY {
+        if remaining > MAX_BODY_BYTES {
             return Err(HttpError::BodyTooLong);
         }
         return Ok(State::Body { remaining });
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -16,9 +16,9 @@
 pub use event::{Event, EventError, StatusMessage};
 
 /// Where the platform serves its events.
-const PATH: &str = "/bulletin";
+const EVENTS_PATH: &str = "/bulletin";
 /// Five intervals of the platform's keep-alive lines, which come every second.
-const SILENCE: Duration = Duration::from_millis(5000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// The stream of the platform's events.
 pub struct RolloutStatusStream {
@@ -28,7 +28,7 @@
 impl RolloutStatusStream {
     /// Not open yet.
     pub fn new(address: SocketAddr, seed: u64) -> RolloutStatusStream {
-        let timeouts = StreamTimeouts::responsive_server(SILENCE);
+        let timeouts = StreamTimeouts::responsive_server(SILENCE_TIMEOUT);
         RolloutStatusStream {
             stream: PersistentStream::new(Component::RolloutStatus, address, timeouts, seed),
         }
@@ -36,12 +36,12 @@
 
     /// Opens the stream.
     pub fn open(&mut self, context: &mut IoContext) {
-        self.stream.open(PATH, context);
+        self.stream.open(EVENTS_PATH, context);
     }
 
     /// Moves to another address. Returns whether it differs from the current one.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) -> bool {
-        self.stream.change_address(address, PATH, context)
+        self.stream.change_address(address, EVENTS_PATH, context)
     }
 
     /// A deadline of the stream has expired.
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use serde::de::IntoDeserializer;
-use serde::de::value::Error as WordError;
+use serde::de::value::Error as NameError;
 use serde::{Deserialize, Deserializer};
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex};
 
 /// The longest event, in bytes.
-const MAX_EVENT: usize = 64 * 1024;
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// Why an event is invalid.
 #[derive(Debug, thiserror::Error)]
@@ -32,9 +32,9 @@
 /// The rollout status of the newest build, in the platform's format.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct StatusMessage {
-    #[serde(rename = "version", deserialize_with = "number")]
+    #[serde(rename = "version", deserialize_with = "deserialize_number")]
     build: BuildNumber,
-    #[serde(rename = "step", deserialize_with = "number")]
+    #[serde(rename = "step", deserialize_with = "deserialize_number")]
     stage: StageIndex,
     #[serde(rename = "status")]
     phase: Phase,
@@ -58,9 +58,9 @@
 }
 
 impl Phase {
-    fn from_word(word: &str) -> Option<Phase> {
-        let word: serde::de::value::StrDeserializer<'_, WordError> = word.into_deserializer();
-        Phase::deserialize(word).ok()
+    fn from_name(name: &str) -> Option<Phase> {
+        let name: serde::de::value::StrDeserializer<'_, NameError> = name.into_deserializer();
+        Phase::deserialize(name).ok()
     }
 }
 
@@ -83,7 +83,7 @@
             stage: self.stage,
             phase: self.phase.into(),
             traffic_cap: self.traffic_cap,
-            age: age(self.age_ms),
+            age: age_from_millis(self.age_ms),
         });
     }
 
@@ -91,7 +91,7 @@
     pub(crate) fn from_fields<'a>(
         field: impl Fn(&str) -> Option<&'a str>,
     ) -> Option<StatusMessage> {
-        let phase = Phase::from_word(field("status")?)?;
+        let phase = Phase::from_name(field("status")?)?;
         let build: u32 = field("version")?.trim().parse().ok()?;
         let stage: u32 = field("step")?.trim().parse().ok()?;
         let traffic_cap: f64 = field("maxWeight")?.trim().parse().ok()?;
@@ -108,14 +108,14 @@
 }
 
 /// Deserializes a number with a type of its own.
-fn number<'de, D: Deserializer<'de>, Number: From<u32>>(
+fn deserialize_number<'de, D: Deserializer<'de>, Number: From<u32>>(
     deserializer: D,
 ) -> Result<Number, D::Error> {
     u32::deserialize(deserializer).map(Number::from)
 }
 
 /// An age in whole microseconds; a negative one counts as zero.
-fn age(age_ms: f64) -> Duration {
+fn age_from_millis(age_ms: f64) -> Duration {
     Duration::from_micros((age_ms.max(0.0) * 1000.0) as u64)
 }
 
@@ -163,7 +163,7 @@
             "stage" => StatusMessage::from_fields(field)
                 .map(Event::Status)
                 .ok_or_else(|| EventError::Status(data.into())),
-            "flag" => flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
+            "flag" => parse_flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
             "tally" => Ok(Event::Other),
             "" if data.is_empty() => Ok(Event::Other),
             _ => Err(EventError::UnknownFormat(kind.into())),
@@ -171,12 +171,12 @@
     }
 }
 
-fn flagged_answer<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
+fn parse_flagged_answer<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
     let age_ms: f64 = field("observedAgoMs")?.parse().ok()?;
     let endpoint = field("pod")?.to_string();
     age_ms.is_finite().then(|| Event::AnswerFlagged {
         endpoint,
-        age: age(age_ms),
+        age: age_from_millis(age_ms),
     })
 }
 
@@ -191,7 +191,7 @@
     }
     partial.push_str(line);
     partial.push('\n');
-    if partial.len() > MAX_EVENT {
+    if partial.len() > MAX_EVENT_BYTES {
         return Err(EventError::TooLong);
     }
     Ok(false)
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -114,7 +114,7 @@
         // changes that it misses.
         if self.current.is_responding() {
             self.current
-                .close_for_now(&StreamError::NothingDelivered, context);
+                .close_and_back_off(&StreamError::NothingDelivered, context);
         }
         self.schedule_renewal(context);
         false
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -139,7 +139,7 @@
         self.has_delivered = false;
         let mut connection = match Connection::open(context, self.address, self.owner) {
             Ok(connection) => connection,
-            Err(error) => return self.close_for_now(&error.into(), context),
+            Err(error) => return self.close_and_back_off(&error.into(), context),
         };
         http::put_get(&mut connection.output, &self.address.to_string(), path);
         self.state = State::Open(Box::new(OpenStream {
@@ -152,11 +152,11 @@
     }
 
     /// Closes the connection and starts the backoff.
-    pub(super) fn close_for_now(&mut self, reason: &StreamError, context: &mut IoContext) {
-        let pause = self.backoff.next_pause();
-        log_lines::stream_ended(&context.log, self.owner.component, reason, pause);
+    pub(super) fn close_and_back_off(&mut self, reason: &StreamError, context: &mut IoContext) {
+        let delay = self.backoff.next_delay();
+        log_lines::stream_ended(&context.log, self.owner.component, reason, delay);
         self.state = State::Closed;
-        context.deadlines.set(self.owner, context.now + pause);
+        context.deadlines.set(self.owner, context.now + delay);
     }
 
     /// Its deadline has expired: it has been silent for too long, or its backoff has ended. Returns
@@ -164,7 +164,7 @@
     pub fn on_deadline(&mut self, context: &mut IoContext) -> bool {
         match self.state {
             State::Open(_) => {
-                self.close_for_now(&StreamError::Silent, context);
+                self.close_and_back_off(&StreamError::Silent, context);
                 false
             }
             State::Closed => true,
@@ -213,7 +213,7 @@
             .and(flushed.map_err(StreamError::Io))
             .and_then(|()| check_open(received.fill, is_complete));
         if let Err(reason) = outcome {
-            self.close_for_now(&reason, context);
+            self.close_and_back_off(&reason, context);
         }
     }
 
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -183,7 +183,7 @@
                 .and_then(EndpointConnection::take_exchange);
             self.close(key, context);
             if let Some(exchange) = exchange {
-                self.end_later(exchange.job, name, AttemptOutcome::NotSent);
+                self.queue_ended_exchange(exchange.kind, name, AttemptOutcome::NotSent);
             }
         }
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -3,7 +3,7 @@
 use tidescale_policy::types::{AttemptOutcome, Timestamp};
 
 use super::ProcessIdentity;
-use super::exchange::{Exchange, HealthCheckQuery, Job};
+use super::exchange::{Exchange, ExchangeKind, HealthCheckQuery};
 use super::outcomes::{RequestProgress, ResponseError};
 use crate::connection::Connection;
 use crate::load_report;
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// No response is awaited, another part has to come first, or the part is invalid.
-    pub(super) fn take_answer_part(
+    pub(super) fn take_response_part(
         &mut self,
         frame: Frame<EndpointMessage>,
         body: &mut Vec<u8>,
@@ -161,7 +161,7 @@
             }
             EndpointMessage::DataRow => {
                 let value = postgres::row(body)?;
-                let is_load_report = exchange.job == Job::HealthCheck
+                let is_load_report = exchange.kind == ExchangeKind::HealthCheck
                     && health_check == HealthCheckQuery::LoadReport;
                 if is_load_report {
                     let text = std::str::from_utf8(value).ok();
@@ -176,7 +176,7 @@
         }
         self.connection
             .input
-            .pass(frame.length, &mut exchange.answer);
+            .pass(frame.length, &mut exchange.response);
         Ok(())
     }
 }
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -6,7 +6,7 @@
 use tidescale_policy::types::{AttemptOutcome, AttemptResult};
 
 use super::connection::EndpointConnection;
-use super::exchange::{EndedExchange, Exchange, Job};
+use super::exchange::{EndedExchange, Exchange, ExchangeKind};
 use super::outcomes::{AttemptError, AttemptErrorCause, ResponseError};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::clients::Clients;
@@ -15,9 +15,14 @@
 
 impl Upstream {
     /// Records that an exchange has ended outside the handling of events.
-    pub(super) fn end_later(&mut self, job: Job, endpoint: &str, outcome: AttemptOutcome) {
+    pub(super) fn queue_ended_exchange(
+        &mut self,
+        kind: ExchangeKind,
+        endpoint: &str,
+        outcome: AttemptOutcome,
+    ) {
         self.ended.push(EndedExchange {
-            job,
+            kind,
             endpoint: endpoint.to_string(),
             outcome,
             duration: Duration::ZERO,
@@ -34,7 +39,7 @@
 
     /// Ends an exchange that the endpoint has answered. The connection then waits for
     /// ReadyForQuery.
-    pub(super) fn finish_answered(
+    pub(super) fn finish_completed(
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
@@ -119,12 +124,12 @@
         outcome: AttemptOutcome,
         context: &mut ExchangeContext<'_>,
     ) {
-        if let Job::Attempt(id) = self.job {
+        if let ExchangeKind::Attempt(id) = self.kind {
             match outcome {
                 AttemptOutcome::Succeeded => {
                     context
                         .clients
-                        .complete_request(id.request, &mut self.answer);
+                        .complete_request(id.request, &mut self.response);
                 }
                 AttemptOutcome::InvalidRequest => {
                     context.clients.answer_invalid_request(id.request);
@@ -133,7 +138,7 @@
             }
         }
         let ended = EndedExchange {
-            job: self.job,
+            kind: self.kind,
             endpoint,
             outcome,
             duration: context.io.now - self.started_at,
@@ -145,8 +150,8 @@
 
 impl EndedExchange {
     fn notify(self, clients: &mut Clients, policy: &mut Balancer) {
-        match self.job {
-            Job::Attempt(id) => {
+        match self.kind {
+            ExchangeKind::Attempt(id) => {
                 let result = AttemptResult {
                     outcome: self.outcome,
                     duration: self.duration,
@@ -156,7 +161,9 @@
                 policy.on_attempt_result(id, result);
                 clients.on_attempt_ended(id);
             }
-            Job::HealthCheck => policy.on_health_check(&self.endpoint, self.outcome, self.load),
+            ExchangeKind::HealthCheck => {
+                policy.on_health_check(&self.endpoint, self.outcome, self.load);
+            }
         }
     }
 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -10,7 +10,7 @@
 
 /// The purpose of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Job {
+pub(super) enum ExchangeKind {
     /// An attempt of a request.
     Attempt(AttemptId),
     /// A health check of the endpoint.
@@ -20,7 +20,7 @@
 /// An exchange to start.
 #[derive(Clone, Copy, Debug)]
 pub struct NewExchange<'a> {
-    pub(super) job: Job,
+    pub(super) kind: ExchangeKind,
     pub(super) endpoint: &'a str,
     pub(super) deadline: Timestamp,
 }
@@ -29,7 +29,7 @@
     /// An attempt of a request at an endpoint.
     pub fn attempt(id: AttemptId, endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
         NewExchange {
-            job: Job::Attempt(id),
+            kind: ExchangeKind::Attempt(id),
             endpoint,
             deadline,
         }
@@ -38,7 +38,7 @@
     /// A health check of an endpoint.
     pub fn health_check(endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
         NewExchange {
-            job: Job::HealthCheck,
+            kind: ExchangeKind::HealthCheck,
             endpoint,
             deadline,
         }
@@ -47,14 +47,14 @@
 
 /// An exchange in flight.
 pub(super) struct Exchange {
-    pub(super) job: Job,
+    pub(super) kind: ExchangeKind,
     pub(super) started_at: Timestamp,
     /// When it times out.
     pub(super) deadline: Timestamp,
     pub(super) progress: RequestProgress,
     pub(super) load: Option<LoadReport>,
     /// The part of the response that was received. It is forwarded only when it is complete.
-    pub(super) answer: Chain,
+    pub(super) response: Chain,
     /// The part of the response that has to come next.
     pub(super) next_part: EndpointMessage,
     /// How it ended. It is kept until all available input has been read, because the load report
@@ -63,14 +63,19 @@
 }
 
 impl Exchange {
-    pub(super) fn new(job: Job, deadline: Timestamp, now: Timestamp, answer: Chain) -> Exchange {
+    pub(super) fn new(
+        kind: ExchangeKind,
+        deadline: Timestamp,
+        now: Timestamp,
+        response: Chain,
+    ) -> Exchange {
         Exchange {
-            job,
+            kind,
             started_at: now,
             deadline,
             progress: RequestProgress::NotWritten,
             load: None,
-            answer,
+            response,
             next_part: EndpointMessage::RowDescription,
             outcome: None,
         }
@@ -85,7 +90,7 @@
 
 /// An exchange that has ended, as the policy is notified of it.
 pub(super) struct EndedExchange {
-    pub(super) job: Job,
+    pub(super) kind: ExchangeKind,
     pub(super) endpoint: String,
     pub(super) outcome: AttemptOutcome,
     pub(super) duration: Duration,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -19,7 +19,7 @@
 /// An endpoint may send a response twice, some milliseconds apart; the duplicate would be taken for
 /// the response to the next request. A connection is therefore idle for at least this long before
 /// it is reused.
-const SETTLING_TIME: Duration = Duration::from_millis(20);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 
 /// Which connection an exchange may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,8 +38,8 @@
         is_repeatable: bool,
         now: Timestamp,
     ) -> ConnectionChoice {
-        let are_reused_breaking = self.last_stale_at.is_some_and(|at| now < at + STALE_PERIOD);
-        if are_reused_breaking && !is_repeatable {
+        let was_recently_stale = self.last_stale_at.is_some_and(|at| now < at + STALE_PERIOD);
+        if was_recently_stale && !is_repeatable {
             ConnectionChoice::OpenNew
         } else {
             ConnectionChoice::ReuseIdle
@@ -64,9 +64,9 @@
                     return Ok(Some(key));
                 }
             }
-            ConnectionChoice::OpenNew => self.close_longest_idle_at(name, context),
+            ConnectionChoice::OpenNew => self.close_longest_idle(name, context),
         }
-        if self.connections.is_full() && !self.make_room(context) {
+        if self.connections.is_full() && !self.evict_least_recently_used(context) {
             return Ok(None);
         }
         self.open(name, process, context)
@@ -76,13 +76,13 @@
     /// closed.
     fn reuse_idle(&mut self, name: &str, context: &mut IoContext) -> Option<EndpointConnectionKey> {
         let idle = &self.endpoints.get(name)?.idle;
-        let settled: Vec<EndpointConnectionKey> = idle
+        let idle_long_enough: Vec<EndpointConnectionKey> = idle
             .iter()
             .rev()
-            .filter(|key| self.is_settled(**key, context.now))
+            .filter(|key| self.has_min_idle_time(**key, context.now))
             .copied()
             .collect();
-        for key in settled {
+        for key in idle_long_enough {
             // If the endpoint has closed it meanwhile, a request would look as if it might have
             // been executed.
             let is_quiet = self
@@ -99,10 +99,10 @@
         None
     }
 
-    fn is_settled(&self, key: EndpointConnectionKey, now: Timestamp) -> bool {
+    fn has_min_idle_time(&self, key: EndpointConnectionKey, now: Timestamp) -> bool {
         self.connections
             .get(key)
-            .is_some_and(|connection| connection.last_used_at + SETTLING_TIME <= now)
+            .is_some_and(|connection| connection.last_used_at + MIN_IDLE_TIME <= now)
     }
 
     fn remove_from_idle(&mut self, name: &str, key: EndpointConnectionKey) {
@@ -112,7 +112,7 @@
     }
 
     /// Closes the connection that has been idle for longest, which a new one replaces.
-    fn close_longest_idle_at(&mut self, name: &str, context: &mut IoContext) {
+    fn close_longest_idle(&mut self, name: &str, context: &mut IoContext) {
         let longest = self
             .endpoints
             .get(name)
@@ -124,7 +124,7 @@
 
     /// Closes the least recently used connection without an exchange. Returns whether there was
     /// one.
-    fn make_room(&mut self, context: &mut IoContext) -> bool {
+    fn evict_least_recently_used(&mut self, context: &mut IoContext) -> bool {
         let least_recently_used = self
             .connections
             .iter()
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -6,7 +6,7 @@
 use tidescale_policy::types::AttemptOutcome;
 
 use super::connection::EndpointConnection;
-use super::exchange::Job;
+use super::exchange::ExchangeKind;
 use super::outcomes::{AttemptErrorCause, ResponseError, is_known_sqlstate, outcome_of_sqlstate};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::buffers::Fill;
@@ -41,7 +41,7 @@
             self.pending.push(key);
         }
         let handled = self.handle_messages(key, context);
-        self.finish_answered(key, context);
+        self.finish_completed(key, context);
         match handled {
             Err(error) => {
                 return self.fail(key, AttemptErrorCause::Malformed(error), context);
@@ -124,7 +124,7 @@
             EndpointMessage::RowDescription
             | EndpointMessage::DataRow
             | EndpointMessage::CommandComplete => {
-                connection.take_answer_part(frame, body, health_check)?;
+                connection.take_response_part(frame, body, health_check)?;
             }
             EndpointMessage::Authentication => {
                 connection.take_body(frame, body);
@@ -132,11 +132,11 @@
             }
             EndpointMessage::ParameterStatus => {
                 connection.take_body(frame, body);
-                take_parameter(connection, body, context);
+                record_parameter(connection, body, context);
             }
             EndpointMessage::Error => {
                 connection.take_body(frame, body);
-                take_error(connection, body, context)?;
+                record_error(connection, body, context)?;
             }
             EndpointMessage::BackendKeyData
             | EndpointMessage::Notice
@@ -165,7 +165,7 @@
         connection.finish_connecting();
         // The guards of the policy may have changed since it chose the endpoint.
         if let Some(exchange) = connection.open_exchange()
-            && let Job::Attempt(id) = exchange.job
+            && let ExchangeKind::Attempt(id) = exchange.kind
             && !context.may_still_write(id)
         {
             exchange.outcome = Some(AttemptOutcome::NotSent);
@@ -182,7 +182,7 @@
 }
 
 /// Records a load report. One that cannot be parsed does not invalidate the response.
-fn take_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
+fn record_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
     let Ok(parameter) = postgres::parameter(body) else {
         return;
     };
@@ -200,7 +200,7 @@
 
 /// Records an error response. While connecting, it means that the endpoint has refused the
 /// connection.
-fn take_error(
+fn record_error(
     connection: &mut EndpointConnection,
     body: &[u8],
     context: &IoContext,
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -5,7 +5,7 @@
 use slog::debug;
 use tidescale_policy::types::{AttemptId, AttemptOutcome};
 
-use super::exchange::{Exchange, Job, NewExchange};
+use super::exchange::{Exchange, ExchangeKind, NewExchange};
 use super::outcomes::{AttemptError, AttemptErrorCause, RequestProgress};
 use super::{Upstream, set_deadline};
 use crate::buffers::Chain;
@@ -16,12 +16,12 @@
 use crate::postgres;
 
 /// The shortest time limit that a statement can carry.
-const MIN_WAIT: Duration = Duration::from_millis(1);
+const MIN_STATEMENT_TIMEOUT: Duration = Duration::from_millis(1);
 
 impl Upstream {
     /// Starts an attempt of a pending request, or a health check.
     pub fn start(&mut self, new: NewExchange<'_>, context: &mut IoContext, clients: &mut Clients) {
-        let Job::Attempt(id) = new.job else {
+        let ExchangeKind::Attempt(id) = new.kind else {
             self.start_exchange(new, context, clients);
             return;
         };
@@ -43,8 +43,8 @@
     ) -> Option<EndpointConnectionKey> {
         let key = self.acquire_for(new, context, clients)?;
         let connection = self.connections.get_mut(key)?;
-        let answer = Chain::new(&context.pool);
-        connection.assign(Exchange::new(new.job, new.deadline, context.now, answer));
+        let response = Chain::new(&context.pool);
+        connection.assign(Exchange::new(new.kind, new.deadline, context.now, response));
         connection.last_used_at = context.now;
         let deadline = connection.limit_by_connect_deadline(new.deadline);
         set_deadline(key, deadline, context);
@@ -59,18 +59,18 @@
         context: &mut IoContext,
         clients: &mut Clients,
     ) -> Option<EndpointConnectionKey> {
-        let NewExchange { job, endpoint, .. } = new;
-        let choice = self.connection_choice(is_repeatable(job, clients), context.now);
+        let NewExchange { kind, endpoint, .. } = new;
+        let choice = self.connection_choice(is_repeatable(kind, clients), context.now);
         match self.acquire(endpoint, choice, context) {
             Ok(Some(key)) => Some(key),
             Ok(None) => {
                 log_lines::endpoint_connection_limit_reached(&context.log, endpoint);
-                self.end_later(job, endpoint, AttemptOutcome::NotSent);
+                self.queue_ended_exchange(kind, endpoint, AttemptOutcome::NotSent);
                 None
             }
             Err(error) => {
                 log_lines::endpoint_connection_failed(&context.log, endpoint, &error);
-                self.end_later(job, endpoint, AttemptOutcome::Refused);
+                self.queue_ended_exchange(kind, endpoint, AttemptOutcome::Refused);
                 None
             }
         }
@@ -116,16 +116,16 @@
         let Some(exchange) = connection.exchange_to_write() else {
             return Some(());
         };
-        let job = exchange.job;
-        let wait = (exchange.deadline - context.now).max(MIN_WAIT);
+        let kind = exchange.kind;
+        let wait = (exchange.deadline - context.now).max(MIN_STATEMENT_TIMEOUT);
         let output = &mut connection.connection.output;
-        match job {
-            Job::Attempt(id) => {
+        match kind {
+            ExchangeKind::Attempt(id) => {
                 let pending = clients.request(id.request)?;
                 let statement = &pending.statement;
                 postgres::put_statement(output, statement, &pending.wait_range, wait);
             }
-            Job::HealthCheck => postgres::put_query(output, health_check.text()),
+            ExchangeKind::HealthCheck => postgres::put_query(output, health_check.text()),
         }
         if let Some(exchange) = connection.exchange_mut() {
             exchange.progress = RequestProgress::PartlyWritten;
@@ -158,16 +158,16 @@
             cause: AttemptErrorCause::Cancelled,
         };
         let endpoint = connection.endpoint.clone();
-        self.end_later(exchange.job, &endpoint, error.outcome());
+        self.queue_ended_exchange(exchange.kind, &endpoint, error.outcome());
         self.close(key, context);
     }
 }
 
-fn is_repeatable(job: Job, clients: &mut Clients) -> bool {
-    match job {
-        Job::Attempt(id) => clients
+fn is_repeatable(kind: ExchangeKind, clients: &mut Clients) -> bool {
+    match kind {
+        ExchangeKind::Attempt(id) => clients
             .request(id.request)
             .is_none_or(|pending| pending.is_repeatable),
-        Job::HealthCheck => true,
+        ExchangeKind::HealthCheck => true,
     }
 }
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -49,8 +49,8 @@
 
 impl PendingVote {
     /// Writes and reads as much as possible. Returns `None` while the response is incomplete.
-    fn progress(&mut self) -> Option<CallEnd> {
-        let is_open = exchange(&mut self.connection);
+    fn advance(&mut self) -> Option<CallEnd> {
+        let is_open = write_and_read(&mut self.connection);
         let decoded = self.response.read(&mut self.connection.input);
         if self.response.is_complete() || !is_open && self.response.is_complete_at_close() {
             let reusable = is_open
@@ -125,7 +125,7 @@
 
     /// Sends a vote.
     pub fn cast_vote(&mut self, ballot: Ballot, context: &mut IoContext) {
-        let form = wire::form(ballot);
+        let form = wire::encode_form(ballot);
         let mut connection = match std::mem::replace(&mut self.state, State::Disconnected) {
             // Unexpected input would be taken for the response to this vote.
             State::Idle(connection) if connection.is_quiet() => connection,
@@ -175,13 +175,13 @@
         match &mut self.state {
             State::Disconnected | State::NotSent => {}
             State::Idle(connection) => {
-                let is_open = exchange(connection);
+                let is_open = write_and_read(connection);
                 if !is_open || !connection.input.is_empty() {
                     self.disconnect(context.io);
                 }
             }
             State::Waiting(pending) => {
-                if let Some(end) = pending.progress() {
+                if let Some(end) = pending.advance() {
                     self.finish_call(&end, context);
                 }
             }
@@ -237,7 +237,7 @@
 }
 
 /// Writes and reads as much as possible. Returns whether the connection is still open.
-fn exchange(connection: &mut Connection) -> bool {
+fn write_and_read(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
     let read = connection.read(READ_AHEAD);
     flushed.is_ok() && matches!(read, Ok(fill) if fill != Fill::Ended)
--- a/crates/proxy/src/votes/wire.rs
+++ b/crates/proxy/src/votes/wire.rs
@@ -23,9 +23,9 @@
 }
 
 /// Encodes a vote as a form.
-pub(super) fn form(ballot: Ballot) -> String {
+pub(super) fn encode_form(ballot: Ballot) -> String {
     let Ballot { build, stage, vote } = ballot;
-    let opinion = match vote {
+    let vote_name = match vote {
         Vote::Abstain => "clear",
         Vote::Advance => "approve",
         Vote::Hold => "wait",
@@ -35,7 +35,7 @@
         .append_pair("Action", "RecordOpinion")
         .append_pair("version", &build.to_string())
         .append_pair("step", &stage.to_string())
-        .append_pair("vote", opinion)
+        .append_pair("vote", vote_name)
         .finish()
 }
 
