--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list in discovery's JSON form, whole or as a change to an earlier one. No I/O.
+//! Parses endpoint lists in the JSON format of discovery: complete lists and changes to an earlier
+//! one. No I/O.
 
 use std::net::SocketAddr;
 
@@ -7,33 +8,33 @@
 
 use crate::upstream::{EndpointListing, ProcessIdentity};
 
-/// The longest list, in bytes.
+/// The longest accepted list.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a list cannot be used.
+/// Why a list was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// A keep-alive line was received before the end of a list.
-    #[error("a list without its end")]
+    /// An empty line, which is a keep-alive, was received within a list.
+    #[error("keep-alive line within an endpoint list")]
     Unterminated,
-    /// A list longer than the limit.
-    #[error("a list too long")]
+    /// The list is longer than the limit.
+    #[error("endpoint list is too long")]
     TooLong,
-    /// Not valid JSON, or a field is missing or invalid.
+    /// The list is not valid JSON, or a field is missing or invalid.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// A list of endpoints, or those that have changed.
+/// All endpoints, or those that have changed since the previous version.
 #[derive(Deserialize)]
 pub struct EndpointList {
     /// Increases with every change.
     pub version: u64,
-    /// It names all endpoints: those that it does not name have been removed. Otherwise those are
-    /// unchanged.
+    /// Whether the list names all endpoints. Endpoints missing from a complete list have been
+    /// removed; those missing from any other list are unchanged.
     #[serde(rename = "full")]
     pub is_complete: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     #[serde(rename = "servers")]
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -41,7 +42,7 @@
 /// One endpoint of a list.
 #[derive(Deserialize)]
 pub struct ListedEndpoint {
-    /// Identifies the endpoint.
+    /// Unique name of the endpoint.
     #[serde(rename = "id")]
     pub name: String,
     #[serde(rename = "addr")]
@@ -74,7 +75,7 @@
 }
 
 impl ListedEndpoint {
-    /// Its state, and its process unless it has been removed.
+    /// The endpoint's state, and its process unless the endpoint has been removed.
     pub fn listing(&self) -> EndpointListing {
         let process = ProcessIdentity {
             address: self.address,
@@ -88,14 +89,14 @@
         }
     }
 
-    /// `None` for a start time of 0 or less: the process has run for longer than it takes to warm
-    /// up.
+    /// When the process started. A time of 0 or less stands for a process that has run for longer
+    /// than it takes to warm up, and gives `None`.
     fn started_at(&self) -> Option<Timestamp> {
         let micros = (self.started_ms.max(0.0) * 1000.0) as u64;
         (micros > 0).then(|| Timestamp::from_micros(micros))
     }
 
-    /// The entry for the policy.
+    /// The endpoint in the form that the policy takes.
     pub fn entry(&self) -> EndpointEntry<'_> {
         EndpointEntry {
             name: &self.name,
@@ -113,9 +114,9 @@
     }
 }
 
-/// Adds a line to the lines of a list received so far. Returns the list once it is complete, and
-/// clears `partial` then. A list may consist of many lines and is parsed once. An empty line is a
-/// keep-alive between lists.
+/// Appends a line to `partial`, the lines of a list received so far. A list may span many lines and
+/// is parsed only once, when it is complete; then `partial` is cleared and the list returned. An
+/// empty line between lists is a keep-alive.
 ///
 /// # Errors
 ///
@@ -145,10 +146,10 @@
     Ok(Some(list))
 }
 
-/// Whether the text, which ends with this line, can be a complete object: each opened brace is
-/// closed.
+/// Whether `text`, whose last line is `last_line`, can be a complete JSON object: each opening
+/// brace has a closing one.
 fn ends_object(last_line: &str, text: &str) -> bool {
-    // A cheap check first: most lines of a long list do not end with a brace.
+    // Most lines of a long list do not end with a brace, which makes scanning `text` unnecessary.
     if !last_line.trim_end().ends_with('}') && text.starts_with('{') {
         return false;
     }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,41 +1,41 @@
-//! The HTTP/1.1 client for discovery and the platform: encodes requests and decodes responses,
-//! complete ones and streams. No I/O.
+//! HTTP/1.1 client codec for discovery and the platform: encodes requests and decodes responses,
+//! including endless ones. No I/O.
 
 use crate::buffers::Chain;
 
-/// The longest head of a response, in bytes.
+/// The longest accepted status line with headers.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Most headers of a response.
+/// The most headers that a response may have.
 const MAX_HEADERS: usize = 32;
-/// The longest line with the size of a chunk, in bytes.
+/// The longest accepted chunk-size line.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
-/// Most bytes of a body that may be buffered.
+/// The most of a body that is buffered; also the longest accepted Content-Length.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const CRLF: &[u8] = b"\r\n";
 
-/// Why a response is invalid.
+/// Why a response was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The status line or the headers are invalid or too long.
-    #[error("not the head of a response")]
+    #[error("invalid or too long response head")]
     InvalidHead,
-    /// The content length is no number.
-    #[error("a content length that is no number")]
+    /// The Content-Length is not a number.
+    #[error("invalid Content-Length")]
     InvalidContentLength,
-    /// The body is longer than [`Response`] can buffer.
-    #[error("a body too long")]
+    /// The body is longer than [`Response`] buffers.
+    #[error("response body is too long")]
     BodyTooLong,
-    /// The size of a chunk is missing or invalid.
-    #[error("a chunk without its size")]
+    /// The size of a chunk is missing, invalid or too long.
+    #[error("missing or invalid chunk size")]
     InvalidChunkSize,
-    /// A chunk is longer than its size.
-    #[error("a chunk longer than its size")]
+    /// The data of a chunk is not followed by CRLF.
+    #[error("chunk is longer than its size")]
     ChunkTooLong,
-    /// The trailer is longer than the longest head.
-    #[error("a trailer too long")]
+    /// A line of the trailer section is longer than the longest accepted head.
+    #[error("response trailer is too long")]
     TrailerTooLong,
-    /// The lines of the body are not UTF-8.
-    #[error("not UTF-8")]
+    /// The body is not UTF-8.
+    #[error("response body is not UTF-8")]
     NotUtf8,
 }
 
@@ -44,7 +44,7 @@
     output.push(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes());
 }
 
-/// Writes a POST request with a form.
+/// Writes a POST request with a URL-encoded form as its body.
 pub fn put_form(output: &mut Chain, host: &str, form: &str) {
     let head = format!(
         "POST / HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: {}\r\n\r\n",
@@ -59,7 +59,7 @@
 enum State {
     #[default]
     Head,
-    /// The rest of a body of known length.
+    /// A body of known length.
     Body {
         remaining: usize,
     },
@@ -82,45 +82,45 @@
     NeedsInput,
 }
 
-/// The part of a response that was decoded so far.
+/// A response and the state of its decoding.
 #[derive(Default)]
 pub struct Response {
     state: State,
-    /// The status code; 0 until the head was decoded.
+    /// The status code; 0 until the head has been decoded.
     pub status: u16,
-    /// The part of the body that was received and not yet consumed.
+    /// The part of the body that was received and has not been consumed yet.
     pub body: Vec<u8>,
     /// Whether the connection can be used for another request once this response is complete.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// The response is complete.
+    /// Whether the response is complete.
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// The head was decoded.
+    /// Whether the head has been decoded.
     pub fn has_head(&self) -> bool {
         self.state != State::Head
     }
 
-    /// In a stream: no chunk or line is incomplete.
+    /// Whether a stream is between chunks, with no incomplete line of the body buffered.
     pub fn is_between_chunks(&self) -> bool {
         let mid_chunk = matches!(self.state, State::Chunk { .. } | State::ChunkEnd);
         self.body.is_empty() && !mid_chunk
     }
 
-    /// Whether the response is complete, given that its connection has closed.
+    /// Whether the response is complete now that its connection has closed.
     pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::Complete | State::BodyUntilClose)
     }
 
-    /// Decodes the input.
+    /// Decodes as much of the input as possible.
     ///
     /// # Errors
     ///
-    /// The input is invalid or too long; the rest of the connection cannot be decoded.
+    /// The input is invalid or too long. Nothing that follows on the connection can be decoded.
     pub fn read(&mut self, input: &mut Chain) -> Result<(), HttpError> {
         while self.advance(input)? == Progress::Advanced {}
         Ok(())
@@ -240,11 +240,11 @@
         }))
     }
 
-    /// Consumes the complete lines of the body, and passes each to `each` without its end.
+    /// Removes the complete lines from the body and passes each to `on_line`, without its line end.
     ///
     /// # Errors
     ///
-    /// The lines are not UTF-8; none of them is passed on.
+    /// The lines are not UTF-8; none of them is passed to `on_line`.
     pub fn take_lines(&mut self, mut on_line: impl FnMut(&str)) -> Result<(), HttpError> {
         let Some(end) = self.body.iter().rposition(|byte| *byte == b'\n') else {
             return Ok(());
@@ -259,7 +259,7 @@
     }
 }
 
-/// The state after a head.
+/// The state that follows the head, which depends on how the length of the body is given.
 fn body_state(head: &httparse::Response, status: u16) -> Result<State, HttpError> {
     if header_value(head, "transfer-encoding").is_some_and(|value| value.ends_with("chunked")) {
         return Ok(State::ChunkSize);
@@ -279,7 +279,7 @@
     })
 }
 
-/// The value of a header in lower case.
+/// The value of a header, trimmed and in lower case.
 fn header_value(head: &httparse::Response, name: &str) -> Option<String> {
     let header = head
         .headers
@@ -289,7 +289,7 @@
     Some(value.trim().to_ascii_lowercase())
 }
 
-/// Copies up to `length` bytes from the front of the input.
+/// Copies up to `length` bytes from the front of the input, without consuming them.
 fn peek(input: &Chain, length: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     input.copy(0..input.len().min(length), &mut bytes);
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -1,5 +1,5 @@
-//! The rollout status of the newest build, received as a persistent stream of events from the
-//! platform.
+//! Receives the rollout status of the newest build and flagged responses, as a persistent stream of
+//! events from the platform.
 
 mod event;
 
@@ -15,18 +15,18 @@
 
 pub use event::{Event, EventError, StatusMessage};
 
-/// Where the platform serves its events.
+/// The path of the platform's event stream.
 const EVENTS_PATH: &str = "/bulletin";
-/// Five intervals of the platform's keep-alive lines, which come every second.
+/// Five times the interval of the platform's keep-alive lines, which is 1 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// The stream of the platform's events.
+/// The platform's event stream.
 pub struct RolloutStatusStream {
     stream: PersistentStream,
 }
 
 impl RolloutStatusStream {
-    /// Not open yet.
+    /// Creates the stream without opening it.
     pub fn new(address: SocketAddr, seed: u64) -> RolloutStatusStream {
         let timeouts = StreamTimeouts::responsive_server(SILENCE_TIMEOUT);
         RolloutStatusStream {
@@ -39,24 +39,24 @@
         self.stream.open(EVENTS_PATH, context);
     }
 
-    /// Moves to another address. Returns whether it differs from the current one.
+    /// Switches to another address. Returns whether it differs from the current one.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) -> bool {
         self.stream.change_address(address, EVENTS_PATH, context)
     }
 
-    /// A deadline of the stream has expired.
+    /// Handles an expired deadline of the stream.
     pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) {
         if self.stream.on_deadline(slot, context) {
             self.open(context);
         }
     }
 
-    /// A socket of the stream became ready.
+    /// Records that a socket of the stream has become ready.
     pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         self.stream.on_ready(slot, readiness);
     }
 
-    /// Reads from the stream and notifies the policy of the events received.
+    /// Reads from the stream and applies the received events to the policy.
     pub fn serve(&mut self, context: &mut EventContext<'_>) {
         let policy = &mut *context.policy;
         self.stream.serve(context.io, |line, partial, _| {
@@ -70,11 +70,11 @@
     }
 }
 
-/// Notifies the policy of one event, given as its lines.
+/// Parses the lines of one event and notifies the policy of it.
 ///
 /// # Errors
 ///
-/// The event is invalid; it may have been a change of the rollout status.
+/// The event is invalid. A change of the rollout status may be lost with it.
 pub fn apply_event(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
     match Event::parse(lines)? {
         Event::Status(status) => status.apply(policy),
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -1,5 +1,5 @@
-//! The platform's events, in the format of server-sent events, and the rollout status in all of its
-//! formats: the data of an event, the response to a vote, the configuration. No I/O.
+//! Parses the platform's server-sent events, and the rollout status in all of its formats: the data
+//! of an event, the response to a vote and the configuration. No I/O.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex};
 
-/// The longest event, in bytes.
+/// The longest accepted event.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Why an event is invalid.
+/// Why an event was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
     /// A line in an unknown format, or an unknown kind of event.
-    #[error("not an event: {0}")]
+    #[error("unknown line or kind of event: {0}")]
     UnknownFormat(String),
     /// The data of a rollout status is invalid.
-    #[error("not a rollout status: {0}")]
+    #[error("invalid rollout status: {0}")]
     Status(String),
     /// The data of a flagged response is invalid.
-    #[error("not a flagged answer: {0}")]
+    #[error("invalid flagged response: {0}")]
     Flag(String),
-    /// An event longer than the limit.
-    #[error("an event without end")]
+    /// The event is longer than the limit.
+    #[error("event is too long")]
     TooLong,
 }
 
@@ -44,7 +44,7 @@
     age_ms: f64,
 }
 
-/// The platform's names of phases.
+/// The phase of a rollout, under the platform's names.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 enum Phase {
     #[serde(rename = "trial")]
@@ -76,7 +76,7 @@
 }
 
 impl StatusMessage {
-    /// Notifies the policy of this status.
+    /// Notifies the policy of the status.
     pub fn apply(&self, policy: &mut Balancer) {
         policy.on_rollout_status(RolloutStatus {
             build: self.build,
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Parses the texts of its fields; `None` if one is missing or invalid.
+    /// Parses a status from the texts of its fields; `None` if one is missing or invalid.
     pub(crate) fn from_fields<'a>(
         field: impl Fn(&str) -> Option<&'a str>,
     ) -> Option<StatusMessage> {
@@ -107,14 +107,14 @@
     }
 }
 
-/// Deserializes a number with a type of its own.
+/// Deserializes a `u32` into a type that wraps it.
 fn deserialize_number<'de, D: Deserializer<'de>, Number: From<u32>>(
     deserializer: D,
 ) -> Result<Number, D::Error> {
     u32::deserialize(deserializer).map(Number::from)
 }
 
-/// An age in whole microseconds; a negative one counts as zero.
+/// Converts an age to whole microseconds; a negative one becomes zero.
 fn age_from_millis(age_ms: f64) -> Duration {
     Duration::from_micros((age_ms.max(0.0) * 1000.0) as u64)
 }
@@ -122,16 +122,16 @@
 /// An event of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The rollout's status has changed.
+    /// The rollout status has changed.
     Status(StatusMessage),
-    /// A client found a response of an endpoint to be wrong.
+    /// A client has reported a response of an endpoint as wrong.
     AnswerFlagged {
         /// The name of the endpoint.
         endpoint: String,
-        /// How long ago.
+        /// How long ago the endpoint responded.
         age: Duration,
     },
-    /// Sampled counts, which the policy does not use, or a keep-alive.
+    /// Sampled counts, which the policy does not use, or an empty event, used as a keep-alive.
     Other,
 }
 
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// A line, or the data in it, is in an unknown format.
+    /// A line or the kind of the event is unknown, or its data is invalid.
     pub fn parse(lines: &str) -> Result<Event, EventError> {
         let mut kind = "";
         let mut data = "";
@@ -180,9 +180,10 @@
     })
 }
 
-/// Adds a line to the lines of an event received so far. Returns whether the event is complete.
+/// Appends a line to `partial`, the lines of an event received so far. Returns whether the event is
+/// complete.
 pub(super) fn add_line(partial: &mut String, line: &str) -> Result<bool, EventError> {
-    // A comment is a keep-alive and not part of an event.
+    // A comment line is a keep-alive and not part of an event.
     if line.starts_with(':') {
         return Ok(false);
     }
