--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,8 +1,8 @@
-//! HTTP responses without an end, read line by line.
+//! Endless HTTP responses, read line by line.
 //!
-//! [`ReconnectingStream`] is one such response; it is opened again, after a backoff, when it ends
-//! or falls silent. [`PersistentStream`] is a sequence of them: on a change of address and at
-//! regular intervals, a new stream replaces the current one without a gap.
+//! [`ReconnectingStream`] reads one such response and requests it again, after a backoff, when it
+//! ends or nothing is received for too long. [`PersistentStream`] replaces one stream by another
+//! on a change of address and at regular intervals, without a gap between them.
 
 mod backoff;
 mod persistent;
@@ -19,17 +19,17 @@
 /// Why the consumer of a stream rejected a line.
 pub type LineError = Box<dyn std::error::Error>;
 
-/// Why a stream has ended.
+/// Why a stream ended.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
     /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response is not HTTP.
+    /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The server refused the request.
-    #[error("status {0}")]
+    /// The server responded with a status code other than 200.
+    #[error("HTTP status {0}")]
     Status(u16),
     /// The consumer rejected a line.
     #[error("{0}")]
@@ -37,40 +37,42 @@
     /// The server closed the connection.
     #[error("closed")]
     Closed,
-    /// The response is complete, although it should not end.
+    /// The response ended, although the connection is still open.
     #[error("complete")]
     Complete,
     /// Nothing was received for too long, not even a keep-alive.
     #[error("silent")]
     Silent,
-    /// The response had started but had delivered nothing when the stream was due for renewal.
+    /// The response had started, but had not delivered a complete message when the stream was due
+    /// for renewal.
     #[error("nothing delivered")]
     NothingDelivered,
 }
 
-/// A response starts within this time.
+/// Time limit for the start of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
-/// A stream may send keep-alives without delivering changes; a new one delivers what was missed.
+/// A stream may send keep-alives without delivering changes; a new stream delivers those that were
+/// missed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(3000);
 
 /// The time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// The longest time without a keep-alive.
+    /// The longest time without any input, including keep-alives.
     pub silence: Duration,
     /// The longest time until a response starts.
     pub response_start: Duration,
     /// The longest backoff before the stream is opened again; jitter at most doubles it.
     pub max_backoff: Duration,
-    /// How often a working stream is replaced by a new one; `None` for a server that all instances
-    /// share, where each call is expensive.
+    /// How often a working stream is replaced by a new one. `None` for a server that all instances
+    /// share, where each request is expensive.
     pub renewal_interval: Option<Duration>,
 }
 
 impl StreamTimeouts {
-    /// For a server that responds immediately.
+    /// Timeouts for a server that responds immediately.
     pub const fn responsive_server(silence: Duration) -> StreamTimeouts {
         StreamTimeouts {
             silence,
--- a/crates/proxy/src/stream/backoff.rs
+++ b/crates/proxy/src/stream/backoff.rs
@@ -6,10 +6,10 @@
 use oorandom::Rand32;
 use tidescale_policy::types::whole_micros;
 
-/// The first backoff, before jitter.
+/// The delay before the first reconnect, without jitter.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// The backoff of one stream.
+/// The backoff state of one stream.
 pub(super) struct Backoff {
     delay: Duration,
     max_delay: Duration,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// The pause before the next attempt to connect; jitter lengthens it by a random factor of up
-    /// to 2.
+    /// Returns the delay before the next reconnect, multiplied by a random factor between 1 and 2,
+    /// and doubles it for the reconnect after that, up to the maximum.
     pub(super) fn next_delay(&mut self) -> Duration {
         let factor = f64::from(1.0 + self.jitter.rand_float());
         let micros = whole_micros(self.delay) as f64 * factor;
@@ -34,7 +34,7 @@
         Duration::from_micros(micros as u64)
     }
 
-    /// Starts again with the first pause, because the stream has delivered something.
+    /// Returns to the initial delay, because the stream has delivered a line.
     pub(super) fn reset(&mut self) {
         self.delay = INITIAL_DELAY;
     }
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -1,6 +1,6 @@
-//! A stream without gaps. When its address changes or it is due for renewal, a second stream is
-//! opened. The current one is closed only after the new one has delivered something, so that
-//! nothing is missed in between.
+//! A stream without gaps: when its address changes or it is due for renewal, a second stream is
+//! opened. The first one is closed only after the second has delivered a complete message, so that
+//! no change is missed in between.
 
 use std::net::SocketAddr;
 
@@ -10,11 +10,11 @@
 use crate::context::{Component, IoContext, Owner};
 use crate::ids::SlotKey;
 
-/// The slot of the deadline for renewal; the slots of streams count from 0.
+/// The slot of the renewal deadline. The slots of streams count up from 0.
 const RENEWAL_SLOT: SlotKey = SlotKey::new(u64::MAX);
 
-/// The current stream and, during a hand-over, the previous one. Each new stream gets the next
-/// slot.
+/// The current stream and, until that has delivered a message, the previous one. Each new stream
+/// gets the next slot.
 pub struct PersistentStream {
     current: ReconnectingStream,
     previous: Option<ReconnectingStream>,
@@ -22,7 +22,7 @@
 }
 
 impl PersistentStream {
-    /// The stream of a component, not open yet.
+    /// Creates the stream of a component without opening it.
     pub fn new(
         component: Component,
         address: SocketAddr,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Opens the current stream.
+    /// Opens the current stream and schedules its renewal.
     pub fn open(&mut self, path: &str, context: &mut IoContext) {
         self.current.open(path, context);
         self.schedule_renewal(context);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Moves to another address. Returns whether it differs from the current one.
+    /// Switches to another address. Returns whether it differs from the current one.
     pub fn change_address(
         &mut self,
         address: SocketAddr,
@@ -65,8 +65,8 @@
         true
     }
 
-    /// Replaces the current stream by a new one. Of the two others, the one that has delivered
-    /// something continues: the current one if it has, else the previous one.
+    /// Replaces the current stream by a new one. One of the two older streams is kept: the replaced
+    /// one if it has delivered a message or is the only one, otherwise the previous one.
     fn replace_current(&mut self, address: SocketAddr, context: &mut IoContext) {
         let Owner { component, slot } = self.current.owner();
         let next = ReconnectingStream::new(
@@ -90,8 +90,8 @@
         }
     }
 
-    /// The deadline of a slot has expired. Returns whether the current stream has to be opened now;
-    /// a previous one is never opened again.
+    /// Handles the expired deadline of a slot. Returns whether the current stream has to be opened
+    /// now; a previous stream is dropped and never opened again.
     pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) -> bool {
         if slot == self.current.owner().slot {
             return self.current.on_deadline(context);
@@ -103,15 +103,15 @@
         false
     }
 
-    /// Replaces a stream that works. Returns whether the new current stream has to be opened.
+    /// Replaces the current stream if it works. Returns whether the new one has to be opened.
     fn renew(&mut self, context: &mut IoContext) -> bool {
         if self.current.has_delivered() {
             self.replace_current(self.current.address(), context);
             return true;
         }
         // The stream has delivered nothing for a whole interval, not even a keep-alive. Waiting for
-        // its silence to end it takes longer than the time after which this instance is held to the
-        // changes that it misses.
+        // the silence timeout would take longer than the time within which this instance has to
+        // know of the changes that it is missing.
         if self.current.is_responding() {
             self.current
                 .close_and_back_off(&StreamError::NothingDelivered, context);
@@ -120,7 +120,7 @@
         false
     }
 
-    /// The socket of a stream became ready.
+    /// Records that the socket of a stream has become ready.
     pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         for stream in [Some(&mut self.current), self.previous.as_mut()]
             .into_iter()
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Delivers the complete lines received, those of the previous stream first; see
+    /// Delivers the received complete lines, those of the previous stream first; see
     /// [`ReconnectingStream::serve`].
     pub fn serve(
         &mut self,
@@ -140,7 +140,8 @@
     ) {
         if let Some(previous) = &mut self.previous {
             previous.serve(context, &mut on_line);
-            // Its server has closed it, as expected after a change of address.
+            // A closed previous stream is not reopened. After a change of address, its server is
+            // expected to close it.
             if !previous.is_open() {
                 self.drop_previous(context);
             }
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -1,5 +1,5 @@
-//! One HTTP response without an end; it is opened again, after a backoff, when it ends or falls
-//! silent.
+//! One endless HTTP response, which is requested again, after a backoff, when it ends or nothing is
+//! received for too long.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,24 +15,24 @@
 use crate::http;
 use crate::log_lines;
 
-/// Time limit for the rest of a message. A server that stops within a message may still send
-/// keep-alives.
+/// Time limit for more input within a message. A server that stalls there may still send
+/// keep-alives, so that the silence timeout would not expire.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes read before they are handled.
+/// The most bytes to read before they are decoded.
 const READ_AHEAD: usize = 256 * 1024;
 
-/// The connection of the stream and what was received over it.
+/// The connection of an open stream and the response received over it.
 struct OpenStream {
     connection: Connection,
     response: http::Response,
-    /// The lines of an incomplete message; maintained by the consumer.
+    /// The lines of an incomplete message, maintained by the consumer.
     partial_message: String,
 }
 
 enum State {
-    /// Not opened yet, or waiting for the end of its backoff.
+    /// Not opened yet, or waiting for its backoff to end.
     Closed,
-    /// Connecting, or reading the response.
+    /// Connecting or reading the response.
     Open(Box<OpenStream>),
 }
 
@@ -40,9 +40,9 @@
 struct Received {
     /// How the last read ended.
     fill: io::Result<Fill>,
-    /// At least one byte was received.
+    /// Whether at least one byte was received.
     any_bytes: bool,
-    /// Whether the response is valid and has a status of success.
+    /// An error if the response is invalid or its status code is not 200.
     response: Result<(), StreamError>,
 }
 
@@ -75,20 +75,20 @@
     }
 }
 
-/// A stream from one address that is opened again whenever it ends.
+/// A stream from one address, opened again whenever it ends.
 pub struct ReconnectingStream {
     owner: Owner,
     address: SocketAddr,
     timeouts: StreamTimeouts,
     backoff: Backoff,
     state: State,
-    /// It has delivered a complete message since it was last opened.
+    /// Whether it has delivered a complete message since it was last opened.
     has_delivered: bool,
 }
 
 impl ReconnectingStream {
-    /// A stream that is not open yet. Streams with the same seed have different jitter if their
-    /// owners differ.
+    /// Creates a stream without opening it. Streams with the same seed but different owners have
+    /// different jitter.
     pub fn new(
         owner: Owner,
         address: SocketAddr,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The owner of its deadline and its sockets.
+    /// The owner of its deadline and its socket.
     pub(super) fn owner(&self) -> Owner {
         self.owner
     }
@@ -159,8 +159,8 @@
         context.deadlines.set(self.owner, context.now + delay);
     }
 
-    /// Its deadline has expired: it has been silent for too long, or its backoff has ended. Returns
-    /// whether it has to be opened now.
+    /// Handles an expired deadline: closes an open stream, on which nothing was received for too
+    /// long. Returns whether the stream has to be opened now, because its backoff has ended.
     pub fn on_deadline(&mut self, context: &mut IoContext) -> bool {
         match self.state {
             State::Open(_) => {
@@ -171,18 +171,18 @@
         }
     }
 
-    /// Its socket became ready.
+    /// Records that its socket has become ready.
     pub fn on_ready(&mut self, readiness: Readiness) {
         if let State::Open(open) = &mut self.state {
             open.connection.on_ready(readiness);
         }
     }
 
-    /// Delivers the complete lines received; bytes that were not read for lack of buffers are left
-    /// to the next call.
+    /// Reads from the connection and delivers the complete lines. Bytes that cannot be read because
+    /// no buffer is free are left to the next call.
     ///
-    /// `on_line` gets the line, the lines of an incomplete message that it has kept, and the
-    /// context. It clears the second when the message is complete.
+    /// `on_line` gets the line, the text that it has kept of an incomplete message, and the
+    /// context. It has to clear the text when the message is complete.
     pub fn serve(
         &mut self,
         context: &mut IoContext,
@@ -229,11 +229,11 @@
         let mut result = Ok(());
         let lines = open.response.take_lines(|line| {
             self.backoff.reset();
-            // Lines after a rejected one are not delivered.
+            // Lines after a rejected line are not delivered.
             if result.is_ok() {
                 result = on_line(line, partial_message, context);
             }
-            // Part of a message is not enough to replace another stream.
+            // Only a complete message allows this stream to replace the previous one.
             self.has_delivered |= result.is_ok() && partial_message.is_empty();
         });
         result.map_err(StreamError::Content)?;
@@ -241,7 +241,7 @@
     }
 }
 
-/// Whether the connection is still open and the response continues.
+/// An error unless the connection is still open and the response continues.
 fn check_open(fill: io::Result<Fill>, is_complete: bool) -> Result<(), StreamError> {
     match fill? {
         Fill::Ended => Err(StreamError::Closed),
