--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,17 +1,19 @@
 //! Connections to endpoints, each with at most one attempt or health check at a time.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
 //! | `exchange` | one attempt or health check |
 //! | `connection` | the states of one connection |
-//! | `pool` | choosing an idle connection for an exchange, or opening a new one |
+//! | `pool` | reusing, opening, keeping and closing connections |
 //! | `sending` | starting, writing and cancelling exchanges |
 //! | `receiving` | handling what endpoints send |
 //! | `ending` | ending exchanges and notifying clients and the policy |
 //! | [`outcomes`] | how an exchange can end without a valid response |
 //!
-//! Invariants: a connection in the `idle` list of an endpoint is in the table and carries no
-//! exchange; the policy is notified exactly once of the end of each exchange.
+//! An attempt or health check with its response is called an exchange.
+//!
+//! Invariants: a connection in the `idle` list of an endpoint is in the `connections` table and
+//! carries no exchange; the policy is notified exactly once of the end of each exchange.
 
 mod connection;
 mod ending;
@@ -42,10 +44,10 @@
     AttemptError, AttemptErrorCause, RequestProgress, ResponseError, outcome_of_sqlstate,
 };
 
-/// What distinguishes a process from another one under the same endpoint name.
+/// What distinguishes a process from others under the same endpoint name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// The build that it runs.
     pub build: BuildNumber,
@@ -56,9 +58,9 @@
 /// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListing {
-    /// It is not in the list any more.
+    /// It is no longer in the list.
     Removed,
-    /// It gets no new attempts, but may be health checked.
+    /// It gets no new attempts, but may get health checks.
     Draining(ProcessIdentity),
     /// It gets new attempts.
     Ready(ProcessIdentity),
@@ -83,13 +85,13 @@
 struct Endpoint {
     process: Option<ProcessIdentity>,
     is_ready: bool,
-    /// The connection that was used last is used first, so that surplus connections stay idle until
-    /// they expire.
+    /// The most recently used connection is last and is reused first, so that surplus connections
+    /// stay idle until they expire.
     idle: Vec<EndpointConnectionKey>,
 }
 
-/// What the handling of a connection to an endpoint works with: I/O, the clients that wait for
-/// responses, and the policy to notify.
+/// Access to everything that handling a connection to an endpoint needs: I/O, the clients that wait
+/// for responses, and the policy.
 pub struct ExchangeContext<'a> {
     /// The shared resources for I/O.
     pub io: &'a mut IoContext,
@@ -100,8 +102,9 @@
 }
 
 impl ExchangeContext<'_> {
-    /// Whether an attempt may be written whose connection had to be established first. Clients are
-    /// served after endpoints, so that the disconnect of its client may not have been handled yet.
+    /// Whether an attempt may still be written after waiting for its connection to be established.
+    /// Checks first whether its client has disconnected: clients are served after endpoints, so the
+    /// disconnect may not have been handled yet.
     fn may_still_write(&mut self, id: AttemptId) -> bool {
         let mut context = EventContext {
             io: self.io,
@@ -117,17 +120,18 @@
     endpoints: BTreeMap<String, Endpoint>,
     connections: Slots<EndpointConnection, EndpointConnectionKey>,
     settings: ConnectionSettings,
-    /// Exchanges that ended outside the handling of events; the policy is notified in the next
-    /// iteration.
+    /// Exchanges that ended without an event on their connection. The policy is notified of them in
+    /// the next iteration of the event loop.
     ended: Vec<EndedExchange>,
     /// Connections with more to read than was read in this iteration.
     pending: Vec<EndpointConnectionKey>,
-    /// When a reused connection last broke with a written request that was not answered.
+    /// When a reused connection was last lost after its request had been written and before any
+    /// part of the response.
     last_stale_at: Option<Timestamp>,
 }
 
 impl Upstream {
-    /// No endpoints yet; at most `max_connections` connections at a time.
+    /// Starts without endpoints; at most `max_connections` connections are open at a time.
     pub fn new(settings: ConnectionSettings, max_connections: usize) -> Upstream {
         Upstream {
             endpoints: BTreeMap::new(),
@@ -139,14 +143,14 @@
         }
     }
 
-    /// There is work to do before the event loop reports anything.
+    /// Whether there is work to do without waiting for an event.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
         !self.ended.is_empty() || !self.pending.is_empty() && !context.pool.is_empty()
     }
 
     /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
-    /// its idle connections are closed. So are those that are being established: their attempts end
-    /// as not sent.
+    /// its idle connections are closed, and so are those that are being established. Exchanges that
+    /// wait for the latter end as not sent.
     pub fn update_endpoint(
         &mut self,
         name: &str,
@@ -188,7 +192,7 @@
         }
     }
 
-    /// The process that is listed under the name of an endpoint.
+    /// The process listed for an endpoint.
     pub fn process_of(&self, name: &str) -> Option<ProcessIdentity> {
         self.endpoints.get(name)?.process
     }
@@ -198,19 +202,19 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Records a readiness report of the event loop.
+    /// Records that a connection has become ready for I/O.
     pub fn on_ready(&mut self, key: EndpointConnectionKey, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.connection.on_ready(readiness);
         }
     }
 
-    /// Takes the connections that have more to read than was read in the last iteration.
+    /// Takes the connections with more to read than was read in the last iteration.
     pub fn take_pending(&mut self) -> Vec<EndpointConnectionKey> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Limits the deadlines of all exchanges in flight.
+    /// Limits the deadlines of all exchanges in flight to `deadline`.
     pub fn begin_shutdown(&mut self, deadline: Timestamp, context: &mut IoContext) {
         let keys: Vec<EndpointConnectionKey> =
             self.connections.iter().map(|(key, _)| key).collect();
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! The states of one connection to an endpoint, and the response that it receives.
+//! The states of one connection to an endpoint, and the validation of responses received on it.
 
 use tidescale_policy::types::{AttemptOutcome, Timestamp};
 
@@ -10,21 +10,21 @@
 use crate::postgres::framing::MESSAGE_HEAD;
 use crate::postgres::{self, EndpointMessage, Frame};
 
-/// The state of a connection to an endpoint.
+/// The state of a connection.
 pub(super) enum ConnectionState {
     /// It is being established: the endpoint has not sent ReadyForQuery yet.
     Connecting {
-        /// When establishing it times out.
+        /// The time limit for establishing the connection.
         deadline: Timestamp,
-        /// The exchange to carry afterwards; none once the endpoint has refused the connection.
+        /// The exchange to carry once the connection is established; `None` once the endpoint has
+        /// refused the connection.
         exchange: Option<Exchange>,
     },
     /// It carries an attempt or a health check.
     Busy(Exchange),
-    /// The response was received, or none is awaited any more; the endpoint has to send
-    /// ReadyForQuery.
+    /// No response is awaited any more, but the endpoint still has to send ReadyForQuery.
     Draining,
-    /// It is kept for another exchange.
+    /// It can be reused for another exchange.
     Idle,
 }
 
@@ -33,12 +33,12 @@
     pub(super) connection: Connection,
     /// The name of the endpoint.
     pub(super) endpoint: String,
-    /// The process that it was opened to.
+    /// The process to which it was opened.
     pub(super) process: ProcessIdentity,
     pub(super) state: ConnectionState,
-    /// When an exchange last started on it, or it last became idle.
+    /// When an exchange last started on it or it last became idle, whichever is later.
     pub(super) last_used_at: Timestamp,
-    /// It has completed an exchange before.
+    /// Whether it has completed an exchange before.
     pub(super) is_reused: bool,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The earlier one of a deadline and the one for establishing the connection, while that is in
-    /// progress.
+    /// The earlier of `deadline` and, while the connection is being established, the time limit for
+    /// that.
     pub(super) fn limit_by_connect_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.connect_deadline()
             .map_or(deadline, |at| at.min(deadline))
@@ -61,7 +61,7 @@
         self.connect_deadline().is_some()
     }
 
-    /// The exchange that it carries or will carry.
+    /// The exchange that the connection carries, or will carry once it is established.
     pub(super) fn exchange(&self) -> Option<&Exchange> {
         match &self.state {
             ConnectionState::Connecting { exchange, .. } => exchange.as_ref(),
@@ -78,13 +78,13 @@
         }
     }
 
-    /// The exchange, while its outcome is unknown.
+    /// The exchange, unless its outcome is known already.
     pub(super) fn open_exchange(&mut self) -> Option<&mut Exchange> {
         self.exchange_mut()
             .filter(|exchange| exchange.outcome.is_none())
     }
 
-    /// Assigns an exchange to carry, either now or once the connection is established.
+    /// Assigns an exchange to carry now or once the connection is established.
     pub(super) fn assign(&mut self, new: Exchange) {
         match &mut self.state {
             ConnectionState::Connecting { exchange, .. } => *exchange = Some(new),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The connection is established: its exchange can be written.
+    /// Records that the connection is established, so that its exchange can be written.
     pub(super) fn finish_connecting(&mut self) {
         if !self.is_connecting() {
             return;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Removes a message from the input and copies its body.
+    /// Removes a message from the input and copies its body to `body`.
     pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
         let input = &mut self.connection.input;
         body.clear();
@@ -135,10 +135,11 @@
         input.skip(frame.length);
     }
 
-    /// Moves one of the three parts of a response from the input to the exchange.
+    /// Validates one of the three messages of a response and moves it from the input to the
+    /// exchange.
     ///
     /// # Errors
-    /// No response is awaited, another part has to come first, or the part is invalid.
+    /// No response is awaited, another message has to come first, or the message is invalid.
     pub(super) fn take_response_part(
         &mut self,
         frame: Frame<EndpointMessage>,
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -14,7 +14,8 @@
 use crate::log_lines;
 
 impl Upstream {
-    /// Records that an exchange has ended outside the handling of events.
+    /// Records an exchange that has ended without an event on its connection;
+    /// [`Upstream::notify_ended_exchanges`] notifies the policy of it.
     pub(super) fn queue_ended_exchange(
         &mut self,
         kind: ExchangeKind,
@@ -30,15 +31,15 @@
         });
     }
 
-    /// Notifies the policy of exchanges that ended outside the handling of events.
+    /// Notifies the policy of the exchanges that have ended without an event on their connection.
     pub fn notify_ended_exchanges(&mut self, clients: &mut Clients, policy: &mut Balancer) {
         for ended in std::mem::take(&mut self.ended) {
             ended.notify(clients, policy);
         }
     }
 
-    /// Ends an exchange that the endpoint has answered. The connection then waits for
-    /// ReadyForQuery.
+    /// Ends an exchange whose outcome is known, if there is one. The connection then waits for
+    /// ReadyForQuery, for as long as it may take to connect.
     pub(super) fn finish_completed(
         &mut self,
         key: EndpointConnectionKey,
@@ -59,7 +60,7 @@
         exchange.finish(endpoint, outcome, context);
     }
 
-    /// Closes a connection that cannot continue, and ends its exchange.
+    /// Closes a connection that has failed, and ends its exchange.
     pub(super) fn fail(
         &mut self,
         key: EndpointConnectionKey,
@@ -99,14 +100,15 @@
         self.fail(key, cause, context);
     }
 
-    /// The time limit for connecting, for a response or for an idle connection has expired.
+    /// Closes a connection whose deadline has expired: that for connecting, for a response, for
+    /// ReadyForQuery or for being idle.
     pub fn on_deadline(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
         self.fail(key, AttemptErrorCause::TimedOut, context);
     }
 }
 
-/// A reused connection was lost with a written request that was not answered at all: it may have
-/// been dead before.
+/// Whether a reused connection was lost after its request had been written and before any part of
+/// the response: it may have been broken already.
 fn is_stale(connection: &EndpointConnection, cause: &AttemptErrorCause) -> bool {
     let is_unanswered = connection.exchange().is_some_and(Exchange::is_unanswered);
     let is_connection_lost = matches!(
@@ -117,7 +119,8 @@
 }
 
 impl Exchange {
-    /// Forwards a complete response to the client and notifies the policy of the end.
+    /// Forwards the response or the rejection of an invalid request to the client, and notifies the
+    /// policy of the end.
     fn finish(
         mut self,
         endpoint: String,
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -8,7 +8,7 @@
 use crate::buffers::Chain;
 use crate::postgres::EndpointMessage;
 
-/// The purpose of an exchange.
+/// What an exchange is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeKind {
     /// An attempt of a request.
@@ -49,16 +49,16 @@
 pub(super) struct Exchange {
     pub(super) kind: ExchangeKind,
     pub(super) started_at: Timestamp,
-    /// When it times out.
+    /// When the exchange times out.
     pub(super) deadline: Timestamp,
     pub(super) progress: RequestProgress,
     pub(super) load: Option<LoadReport>,
-    /// The part of the response that was received. It is forwarded only when it is complete.
+    /// The messages of the response received so far. The response is forwarded only when complete.
     pub(super) response: Chain,
-    /// The part of the response that has to come next.
+    /// The message of the response that has to come next.
     pub(super) next_part: EndpointMessage,
-    /// How it ended. It is kept until all available input has been read, because the load report
-    /// may follow the response.
+    /// How the exchange ended. It is kept here until all available input has been handled, because
+    /// the load report may follow the response.
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Its request was written completely and no part of a response was received.
+    /// Whether the request was written completely and no part of the response was received.
     pub(super) fn is_unanswered(&self) -> bool {
         self.progress == RequestProgress::Written
             && self.next_part == EndpointMessage::RowDescription
@@ -100,9 +100,9 @@
 /// The query that a health check sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HealthCheckQuery {
-    /// Asks for the load report, for endpoints that send it only on demand.
+    /// Requests the load report, from endpoints that send it only on demand.
     LoadReport,
-    /// Asks for any response.
+    /// Requests an arbitrary response.
     Ping,
 }
 
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -1,5 +1,5 @@
-//! How attempts and health checks end without a valid response, and what follows for the request.
-//! No I/O.
+//! How attempts and health checks can end without a valid response, and the outcome that the policy
+//! is notified of. No I/O.
 
 use std::fmt;
 use std::io;
@@ -9,14 +9,14 @@
 
 use crate::postgres::{ProtocolError, sqlstate};
 
-/// How much of a request was written to its endpoint.
+/// How much of a request has been written to the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Nothing.
+    /// Nothing has been written.
     NotWritten,
-    /// Not the last byte: the endpoint cannot have executed it.
+    /// At least the last byte has not been written: the endpoint cannot have executed the request.
     PartlyWritten,
-    /// All of it: the endpoint may have executed it.
+    /// All of it has been written: the endpoint may have executed the request.
     Written,
 }
 
@@ -30,30 +30,30 @@
     }
 }
 
-/// Why an endpoint's message is invalid.
+/// Why what an endpoint sent is not a valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
-    /// Endpoints may not send such a message.
+    /// A message violates the protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// A response without a query, or a second one.
-    #[error("an answer to nothing")]
+    /// A response was received without a query, or a second one to the same query.
+    #[error("response without a query")]
     Unrequested,
-    /// The parts of a response are in the wrong order.
-    #[error("an answer out of order")]
+    /// The messages of a response are in the wrong order.
+    #[error("response messages out of order")]
     OutOfOrder,
-    /// The endpoint accepts another query without a response to this one.
-    #[error("no answer to a query")]
+    /// The endpoint sent ReadyForQuery without a response to the query.
+    #[error("query without a response")]
     Missing,
-    /// The proxy panicked while handling it.
-    #[error("panic")]
+    /// The proxy panicked while handling the connection.
+    #[error("panic in the connection handler")]
     Panicked,
 }
 
 /// Why an attempt or a health check ended without a response.
 #[derive(Debug, Error)]
 pub enum AttemptErrorCause {
-    /// The connection broke or was not established.
+    /// The connection was lost or could not be established.
     #[error("{0}")]
     ConnectionBroken(#[source] io::Error),
     /// The endpoint closed the connection.
@@ -62,7 +62,7 @@
     /// The endpoint sent an invalid message.
     #[error("{0}")]
     Malformed(#[source] ResponseError),
-    /// A deadline has expired.
+    /// The deadline expired.
     #[error("no answer in time")]
     TimedOut,
     /// The policy cancelled it.
@@ -76,14 +76,14 @@
 pub struct AttemptError {
     /// How much of the request was written.
     pub progress: RequestProgress,
-    /// What ended it.
+    /// Why it ended.
     #[source]
     pub cause: AttemptErrorCause,
 }
 
 impl AttemptError {
-    /// The outcome for the policy. Only a request that was written completely may have been
-    /// executed.
+    /// The outcome that the policy is notified of. Only a request that was written completely may
+    /// have been executed.
     pub fn outcome(&self) -> AttemptOutcome {
         match (self.progress, &self.cause) {
             (_, AttemptErrorCause::Cancelled) => AttemptOutcome::Cancelled,
@@ -91,7 +91,7 @@
                 AttemptOutcome::Refused
             }
             (RequestProgress::Written, AttemptErrorCause::TimedOut) => AttemptOutcome::TimedOut,
-            // The endpoint is alive and has sent something, though nothing valid.
+            // The endpoint is alive, as it has sent something, but nothing valid.
             (RequestProgress::Written, AttemptErrorCause::Malformed(_)) => {
                 AttemptOutcome::Malformed
             }
@@ -103,9 +103,9 @@
     }
 }
 
-/// The outcome of an attempt that an endpoint answered with an error, by its SQLSTATE.
+/// The outcome of an attempt whose response is an error with this SQLSTATE.
 pub fn outcome_of_sqlstate(code: &str) -> AttemptOutcome {
-    // Any other endpoint would answer these requests in the same way.
+    // These errors are caused by the request: any other endpoint would return them as well.
     let is_invalid_request = code.starts_with(sqlstate::DATA_EXCEPTION_CLASS)
         || code.starts_with(sqlstate::SYNTAX_OR_ACCESS_CLASS);
     match code {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! Choosing the connection for the next exchange: a reliable idle one, or a new one.
+//! The connection pool: reusing idle connections, opening new ones, and keeping or closing them
+//! after an exchange.
 
 use std::io;
 use std::time::Duration;
@@ -13,26 +14,26 @@
 use crate::ids::EndpointConnectionKey;
 use crate::postgres;
 
-/// For this long after a reused connection was lost with an unanswered request, requests that must
-/// not be executed twice use new connections.
+/// For this long after a reused connection was lost before any response to its request, requests
+/// that must not be executed twice use new connections.
 const STALE_PERIOD: Duration = Duration::from_millis(10_000);
-/// An endpoint may send a response twice, some milliseconds apart; the duplicate would be taken for
-/// the response to the next request. A connection is therefore idle for at least this long before
-/// it is reused.
+/// A connection has to be idle for this long before it is reused. An endpoint may send a response
+/// twice, some milliseconds apart, and the duplicate would be taken for the response to the next
+/// request.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 
 /// Which connection an exchange may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionChoice {
-    /// An idle one, if there is one.
+    /// An idle one if possible, otherwise a new one.
     ReuseIdle,
     /// Only a new one.
     OpenNew,
 }
 
 impl Upstream {
-    /// A reused connection may already be dead. A request written to it is lost, and may have been
-    /// executed.
+    /// Chooses whether an exchange may reuse an idle connection. A reused connection may have been
+    /// broken already; a request written to it is lost, and counts as possibly executed.
     pub(super) fn connection_choice(
         &self,
         is_repeatable: bool,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// A connection that can carry an exchange, now or once it is established; `None` if all
-    /// descriptors are in use.
+    /// Returns a connection that can carry an exchange, now or once it is established. Returns
+    /// `None` if the limit on connections is reached and none can be closed.
     ///
     /// # Errors
     /// The endpoint is not listed, or connecting fails immediately.
@@ -72,8 +73,8 @@
         self.open(name, process, context)
     }
 
-    /// Takes the usable idle connection that was used last; connections that are not usable are
-    /// closed.
+    /// Takes the most recently used idle connection that is still open and has no unexpected input.
+    /// Closes those on the way that are not.
     fn reuse_idle(&mut self, name: &str, context: &mut IoContext) -> Option<EndpointConnectionKey> {
         let idle = &self.endpoints.get(name)?.idle;
         let idle_long_enough: Vec<EndpointConnectionKey> = idle
@@ -83,8 +84,8 @@
             .copied()
             .collect();
         for key in idle_long_enough {
-            // If the endpoint has closed it meanwhile, a request would look as if it might have
-            // been executed.
+            // A request written to a connection that the endpoint has closed would count as
+            // possibly executed.
             let is_quiet = self
                 .connections
                 .get(key)
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, which a new one replaces.
+    /// Closes the endpoint's longest idle connection, which is going to be replaced by a new one.
     fn close_longest_idle(&mut self, name: &str, context: &mut IoContext) {
         let longest = self
             .endpoints
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Closes the least recently used connection without an exchange. Returns whether there was
-    /// one.
+    /// Closes the least recently used of all connections without an exchange. Returns whether there
+    /// was one.
     fn evict_least_recently_used(&mut self, context: &mut IoContext) -> bool {
         let least_recently_used = self
             .connections
@@ -165,7 +166,8 @@
         inserted.transpose()
     }
 
-    /// Keeps a connection for another exchange, or closes it if its process gets no new attempts.
+    /// Keeps a connection for another exchange, or closes it if its process gets no new attempts or
+    /// is no longer the listed one.
     pub(super) fn keep_idle(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -181,13 +183,13 @@
         connection.state = ConnectionState::Idle;
         connection.last_used_at = context.now;
         connection.is_reused = true;
-        // Well before the endpoint closes it: a request that crosses with the close may have been
-        // executed.
+        // Closed well before the endpoint's own idle timeout: a request that is sent while the
+        // endpoint closes the connection may have been executed.
         let close_at = context.now + self.settings.idle_timeout / 2;
         set_deadline(key, close_at, context);
     }
 
-    /// Closes a connection in any state. Its exchange has to be taken from it before.
+    /// Closes a connection in any state. The caller has to take its exchange first.
     pub(super) fn close(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         context.deadlines.clear(Owner::endpoint(key));
         if let Some(connection) = self.connections.remove(key) {
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -1,4 +1,4 @@
-//! Handling what endpoints send: parts of responses, errors, load reports, and ReadyForQuery.
+//! Handling messages from endpoints: responses, errors, load reports and ReadyForQuery.
 
 use std::io;
 
@@ -17,9 +17,9 @@
 use crate::postgres::framing::MAX_DATA_ROW_BODY;
 use crate::postgres::{self, EndpointMessage, Frame, whole_frame};
 
-/// Bytes read before they are handled: the longest message and some more.
+/// The most bytes to read before they are handled: the longest message and some more.
 const READ_AHEAD: usize = MAX_DATA_ROW_BODY + 4096;
-/// The parameter with which endpoints report their load.
+/// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
 
 /// Whether the endpoint accepts another query on the connection.
@@ -30,7 +30,8 @@
 }
 
 impl Upstream {
-    /// Reads what an endpoint has sent, forwards responses and notifies the policy.
+    /// Writes pending output and handles what the endpoint has sent: forwards responses and
+    /// notifies the policy.
     pub fn serve(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
         self.write(key, context.io, context.clients);
         let Some(connection) = self.connections.get_mut(key) else {
@@ -52,7 +53,8 @@
         self.continue_after_read(key, read, context);
     }
 
-    /// Reads again in the next iteration, or ends a connection that has ended.
+    /// Schedules another read for the next iteration if there may be more input. Closes the
+    /// connection if it has ended or failed.
     fn continue_after_read(
         &mut self,
         key: EndpointConnectionKey,
@@ -67,22 +69,24 @@
         }
     }
 
-    /// Keeps a connection whose endpoint accepts another query, unless more was received than one
-    /// response.
+    /// Keeps a connection whose endpoint accepts another query, or closes it if input is left after
+    /// the response.
     fn release(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         let has_more = self
             .connections
             .get(key)
             .is_some_and(|connection| !connection.connection.input.is_empty());
         if has_more {
-            // A duplicate response, for example, would be taken for the response to the next query.
+            // The input, such as a duplicate response, would be taken for the response to the next
+            // query.
             self.close(key, context);
         } else {
             self.keep_idle(key, context);
         }
     }
 
-    /// Handles messages in their order.
+    /// Handles all complete messages in the input, in order. Returns whether the endpoint accepts
+    /// another query.
     fn handle_messages(
         &mut self,
         key: EndpointConnectionKey,
@@ -145,8 +149,8 @@
         Ok(())
     }
 
-    /// The endpoint accepts a query: that of the exchange for which the connection was opened, or
-    /// another one.
+    /// Handles ReadyForQuery. On a new connection, writes the query of the exchange for which the
+    /// connection was opened. Otherwise, the endpoint accepts another query.
     fn on_ready_for_query(
         &mut self,
         key: EndpointConnectionKey,
@@ -163,7 +167,8 @@
             };
         }
         connection.finish_connecting();
-        // The guards of the policy may have changed since it chose the endpoint.
+        // The policy may no longer allow the attempt that it started before the connection was
+        // established.
         if let Some(exchange) = connection.open_exchange()
             && let ExchangeKind::Attempt(id) = exchange.kind
             && !context.may_still_write(id)
@@ -181,7 +186,8 @@
     }
 }
 
-/// Records a load report. One that cannot be parsed does not invalidate the response.
+/// Records a load report; ignores other parameters. A load report that cannot be parsed does not
+/// invalidate the response.
 fn record_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
     let Ok(parameter) = postgres::parameter(body) else {
         return;
@@ -198,8 +204,8 @@
     }
 }
 
-/// Records an error response. While connecting, it means that the endpoint has refused the
-/// connection.
+/// Records the outcome of an error response. While connecting, an error that does not report an
+/// overload means that the endpoint has refused the connection.
 fn record_error(
     connection: &mut EndpointConnection,
     body: &[u8],
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -19,7 +19,7 @@
 const MIN_STATEMENT_TIMEOUT: Duration = Duration::from_millis(1);
 
 impl Upstream {
-    /// Starts an attempt of a pending request, or a health check.
+    /// Starts an attempt, unless its request is no longer pending, or a health check.
     pub fn start(&mut self, new: NewExchange<'_>, context: &mut IoContext, clients: &mut Clients) {
         let ExchangeKind::Attempt(id) = new.kind else {
             self.start_exchange(new, context, clients);
@@ -52,7 +52,7 @@
         Some(key)
     }
 
-    /// Acquires a connection for an exchange. If there is none, the exchange ends.
+    /// Acquires a connection for an exchange. If there is none, records the end of the exchange.
     fn acquire_for(
         &mut self,
         new: NewExchange<'_>,
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Writes the request of a connection that can carry it, and pending output.
+    /// Writes the request of the connection's exchange, if the connection is ready for it, and
+    /// other pending output.
     pub(super) fn write(
         &mut self,
         key: EndpointConnectionKey,
@@ -92,19 +93,19 @@
         let flushed = connection.connection.flush();
         let is_written = connection.connection.output.is_empty();
         if let Some(exchange) = connection.exchange_mut() {
-            // Bytes handed to the system on an open connection may reach the endpoint.
+            // Bytes accepted by the operating system may reach the endpoint.
             if exchange.progress == RequestProgress::PartlyWritten && is_written {
                 exchange.progress = RequestProgress::Written;
             }
         }
-        // The next read reports the failure, after what the endpoint may have sent before it.
+        // The failure is handled by the next read, after what the endpoint may have sent before it.
         if let Err(error) = flushed {
             debug!(context.log, "write failed"; "endpoint" => &connection.endpoint, "error" => %error);
         }
     }
 
-    /// Appends the request of a connection that can carry it to its output. Returns `None` if the
-    /// connection or the request does not exist any more.
+    /// Appends the request of the connection's exchange to the output, if the connection is ready
+    /// for it. Returns `None` if the connection or the request no longer exists.
     fn put_request(
         &mut self,
         key: EndpointConnectionKey,
@@ -133,8 +134,8 @@
         Some(())
     }
 
-    /// Cancels an attempt. As for any other attempt, the policy is notified of its end in the next
-    /// iteration.
+    /// Cancels an attempt and closes its connection. The policy is notified of the end of the
+    /// attempt in the next iteration, as for any other attempt.
     pub fn cancel_attempt(
         &mut self,
         id: AttemptId,
