--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -1,8 +1,8 @@
-//! Votes on the build under evaluation: calls to the platform, one at a time, over a connection of
-//! their own.
+//! Sends votes on the build under evaluation to the platform, one at a time, over a connection of
+//! its own.
 //!
 //! The policy is notified exactly once of the result of each vote. A vote that was written
-//! completely may count even without a response.
+//! completely may count even if no response is received.
 
 mod wire;
 
@@ -21,34 +21,35 @@
 
 pub use wire::{VoteResponse, parse_response};
 
-/// The owner of the connection and its deadline.
+/// The owner of the connection and of its deadline.
 const OWNER: Owner = Owner::only(Component::Votes);
 /// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Bytes read before they are handled.
+/// The most bytes to read before they are handled.
 const READ_AHEAD: usize = 64 * 1024;
 
-/// A vote that waits for its response.
+/// A vote that waits for its response, and its connection.
 struct PendingVote {
     connection: Connection,
     response: http::Response,
-    /// The address of the platform has changed since the vote was sent.
+    /// Whether the address of the platform has changed since the vote was sent.
     address_changed: bool,
 }
 
-/// How a call has ended.
+/// How a call to the platform ended.
 enum CallEnd {
-    /// With a response.
+    /// A complete response was received.
     Responded {
-        /// The connection can be used for another call.
+        /// Whether the connection can be used for another call.
         reusable: bool,
     },
-    /// Without one.
+    /// The connection was lost, timed out or carried an invalid response.
     Broken,
 }
 
 impl PendingVote {
-    /// Writes and reads as much as possible. Returns `None` while the response is incomplete.
+    /// Writes and reads as much as possible. Returns how the call ended, or `None` while it
+    /// continues.
     fn advance(&mut self) -> Option<CallEnd> {
         let is_open = write_and_read(&mut self.connection);
         let decoded = self.response.read(&mut self.connection.input);
@@ -62,7 +63,8 @@
         (decoded.is_err() || !is_open).then_some(CallEnd::Broken)
     }
 
-    /// The result of a vote without a response.
+    /// The result of a vote whose call ended without a response: unknown if it was written
+    /// completely.
     fn result_without_response(&self) -> VoteResult {
         let was_written = self.connection.output.is_empty();
         if was_written {
@@ -74,13 +76,13 @@
 }
 
 enum State {
-    /// No connection.
+    /// There is no connection.
     Disconnected,
     /// The vote could not be sent; the policy has to be notified.
     NotSent,
-    /// The connection is idle.
+    /// There is a connection, kept for the next vote.
     Idle(Connection),
-    /// A vote waits for its response.
+    /// A vote is waiting for its response.
     Waiting(Box<PendingVote>),
 }
 
@@ -92,7 +94,7 @@
 }
 
 impl Votes {
-    /// Sends votes to `address` and waits for each response for up to `response_timeout`.
+    /// Votes go to `address`; the time limit for each response is `response_timeout`.
     pub fn new(address: SocketAddr, response_timeout: Duration) -> Votes {
         Votes {
             address,
@@ -101,13 +103,13 @@
         }
     }
 
-    /// The policy has to be notified of a vote that could not be sent.
+    /// Whether the policy has to be notified of a vote that could not be sent.
     pub fn has_pending_work(&self) -> bool {
         matches!(self.state, State::NotSent)
     }
 
-    /// The next vote goes to this address; the response to the current one still comes from where
-    /// it was sent.
+    /// Sets the address for the next vote. The response to a vote that was already sent is still
+    /// awaited on its own connection.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) {
         let is_new = address != self.address;
         self.address = address;
@@ -123,7 +125,7 @@
         context.deadlines.clear(OWNER);
     }
 
-    /// Sends a vote.
+    /// Sends a vote, over the idle connection if there is one.
     pub fn cast_vote(&mut self, ballot: Ballot, context: &mut IoContext) {
         let form = wire::encode_form(ballot);
         let mut connection = match std::mem::replace(&mut self.state, State::Disconnected) {
@@ -142,7 +144,7 @@
             }
         };
         http::put_form(&mut connection.output, &self.address.to_string(), &form);
-        // The next read reports a failure.
+        // A failure is reported by the next read.
         let _ = connection.flush();
         self.state = State::Waiting(Box::new(PendingVote {
             connection,
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The connection became ready.
+    /// Records that the connection has become ready.
     pub fn on_ready(&mut self, readiness: Readiness) {
         match &mut self.state {
             State::Idle(connection) => connection.on_ready(readiness),
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Writes and reads, and notifies the policy of the result of the vote.
+    /// Writes and reads as much as possible, and notifies the policy of the result of the vote once
+    /// the call has ended.
     pub fn serve(&mut self, context: &mut EventContext<'_>) {
         match &mut self.state {
             State::Disconnected | State::NotSent => {}
@@ -211,7 +214,7 @@
         }
     }
 
-    /// The time limit for a response or for an idle connection has expired.
+    /// Handles an expired time limit: that for a response or that for an idle connection.
     pub fn on_deadline(&mut self, context: &mut EventContext<'_>) {
         match &self.state {
             State::Waiting(_) => self.finish_call(&CallEnd::Broken, context),
@@ -221,8 +224,8 @@
     }
 }
 
-/// Notifies the policy of the response to a vote. Returns whether the response was valid; after an
-/// invalid one, the next input of the connection could be the rest of it.
+/// Notifies the policy of the response to a vote. Returns whether the response was valid. Input
+/// that follows an invalid response could still belong to it.
 fn apply_response(response: &http::Response, context: &mut EventContext<'_>) -> bool {
     let Some(parsed) = parse_response(response.status, &response.body) else {
         log_lines::invalid_vote_response(&context.io.log, response.status);
--- a/crates/proxy/src/votes/wire.rs
+++ b/crates/proxy/src/votes/wire.rs
@@ -9,7 +9,7 @@
 pub struct VoteResponse {
     /// The result of the vote.
     pub result: VoteResult,
-    /// The rollout status after an accepted vote.
+    /// The rollout status, which the response to an accepted vote contains.
     pub rollout_status: Option<StatusMessage>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Encodes a vote as a form.
+/// Encodes a vote as a URL-encoded form.
 pub(super) fn encode_form(ballot: Ballot) -> String {
     let Ballot { build, stage, vote } = ballot;
     let vote_name = match vote {
@@ -39,7 +39,7 @@
         .finish()
 }
 
-/// Parses the status code and the XML body of a response; `None` if they are invalid.
+/// Parses a response from its HTTP status code and its XML body; `None` if it is invalid.
 pub fn parse_response(status: u16, body: &[u8]) -> Option<VoteResponse> {
     let text = std::str::from_utf8(body).ok()?;
     let document = roxmltree::Document::parse(text).ok()?;
