--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -1,40 +1,40 @@
-//! The platform's events, in the format of server-sent events, and the rollout status in all of its
-//! formats: the data of an event, the response to a vote, the configuration. No I/O.
+//! Parses the platform's server-sent events, and the rollout status in all of its formats: the data
+//! of an event, the response to a vote and the configuration. No I/O.
 
 use std::time::Duration;
 
 use serde::de::IntoDeserializer;
-use serde::de::value::Error as WordError;
+use serde::de::value::Error as NameError;
 use serde::{Deserialize, Deserializer};
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex};
 
-/// The longest event, in bytes.
-const MAX_EVENT: usize = 64 * 1024;
+/// The longest accepted event.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Why an event is invalid.
+/// Why an event was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
     /// A line in an unknown format, or an unknown kind of event.
-    #[error("not an event: {0}")]
-    Form(String),
+    #[error("unknown line or kind of event: {0}")]
+    UnknownFormat(String),
     /// The data of a rollout status is invalid.
-    #[error("not a rollout status: {0}")]
+    #[error("invalid rollout status: {0}")]
     Status(String),
     /// The data of a flagged response is invalid.
-    #[error("not a flagged answer: {0}")]
+    #[error("invalid flagged response: {0}")]
     Flag(String),
-    /// An event longer than the limit.
-    #[error("an event without end")]
+    /// The event is longer than the limit.
+    #[error("event is too long")]
     TooLong,
 }
 
 /// The rollout status of the newest build, in the platform's format.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct StatusMessage {
-    #[serde(rename = "version", deserialize_with = "number")]
+    #[serde(rename = "version", deserialize_with = "deserialize_number")]
     build: BuildNumber,
-    #[serde(rename = "step", deserialize_with = "number")]
+    #[serde(rename = "step", deserialize_with = "deserialize_number")]
     stage: StageIndex,
     #[serde(rename = "status")]
     phase: Phase,
@@ -44,7 +44,7 @@
     age_ms: f64,
 }
 
-/// The platform's names of phases.
+/// The phase of a rollout, under the platform's names.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 enum Phase {
     #[serde(rename = "trial")]
@@ -58,9 +58,9 @@
 }
 
 impl Phase {
-    fn from_word(word: &str) -> Option<Phase> {
-        let word: serde::de::value::StrDeserializer<'_, WordError> = word.into_deserializer();
-        Phase::deserialize(word).ok()
+    fn from_name(name: &str) -> Option<Phase> {
+        let name: serde::de::value::StrDeserializer<'_, NameError> = name.into_deserializer();
+        Phase::deserialize(name).ok()
     }
 }
 
@@ -76,22 +76,22 @@
 }
 
 impl StatusMessage {
-    /// Notifies the policy of this status.
+    /// Notifies the policy of the status.
     pub fn apply(&self, policy: &mut Balancer) {
         policy.on_rollout_status(RolloutStatus {
             build: self.build,
             stage: self.stage,
             phase: self.phase.into(),
             traffic_cap: self.traffic_cap,
-            age: age(self.age_ms),
+            age: age_from_millis(self.age_ms),
         });
     }
 
-    /// Parses the texts of its fields; `None` if one is missing or invalid.
+    /// Parses a status from the texts of its fields; `None` if one is missing or invalid.
     pub(crate) fn from_fields<'a>(
         field: impl Fn(&str) -> Option<&'a str>,
     ) -> Option<StatusMessage> {
-        let phase = Phase::from_word(field("status")?)?;
+        let phase = Phase::from_name(field("status")?)?;
         let build: u32 = field("version")?.trim().parse().ok()?;
         let stage: u32 = field("step")?.trim().parse().ok()?;
         let traffic_cap: f64 = field("maxWeight")?.trim().parse().ok()?;
@@ -107,31 +107,31 @@
     }
 }
 
-/// Deserializes a number with a type of its own.
-fn number<'de, D: Deserializer<'de>, Number: From<u32>>(
+/// Deserializes a `u32` into a type that wraps it.
+fn deserialize_number<'de, D: Deserializer<'de>, Number: From<u32>>(
     deserializer: D,
 ) -> Result<Number, D::Error> {
     u32::deserialize(deserializer).map(Number::from)
 }
 
-/// An age in whole microseconds; a negative one counts as zero.
-fn age(age_ms: f64) -> Duration {
+/// Converts an age to whole microseconds; a negative one becomes zero.
+fn age_from_millis(age_ms: f64) -> Duration {
     Duration::from_micros((age_ms.max(0.0) * 1000.0) as u64)
 }
 
 /// An event of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The rollout's status has changed.
+    /// The rollout status has changed.
     Status(StatusMessage),
-    /// A client found a response of an endpoint to be wrong.
+    /// A client has reported a response of an endpoint as wrong.
     AnswerFlagged {
         /// The name of the endpoint.
         endpoint: String,
-        /// How long ago.
+        /// How long ago the endpoint responded.
         age: Duration,
     },
-    /// Sampled counts, which the policy does not use, or a keep-alive.
+    /// Sampled counts, which the policy does not use, or an empty event, used as a keep-alive.
     Other,
 }
 
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// A line, or the data in it, is in an unknown format.
+    /// A line or the kind of the event is unknown, or its data is invalid.
     pub fn parse(lines: &str) -> Result<Event, EventError> {
         let mut kind = "";
         let mut data = "";
@@ -149,7 +149,7 @@
                 Some(("event", value)) => kind = value.trim(),
                 Some(("data", value)) => data = value.trim(),
                 Some(("id" | "retry" | "", _)) => {}
-                _ => return Err(EventError::Form(line.into())),
+                _ => return Err(EventError::UnknownFormat(line.into())),
             }
         }
         let fields: Vec<_> = form_urlencoded::parse(data.as_bytes()).collect();
@@ -163,26 +163,27 @@
             "stage" => StatusMessage::from_fields(field)
                 .map(Event::Status)
                 .ok_or_else(|| EventError::Status(data.into())),
-            "flag" => flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
+            "flag" => parse_flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
             "tally" => Ok(Event::Other),
             "" if data.is_empty() => Ok(Event::Other),
-            _ => Err(EventError::Form(kind.into())),
+            _ => Err(EventError::UnknownFormat(kind.into())),
         }
     }
 }
 
-fn flagged_answer<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
+fn parse_flagged_answer<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
     let age_ms: f64 = field("observedAgoMs")?.parse().ok()?;
     let endpoint = field("pod")?.to_string();
     age_ms.is_finite().then(|| Event::AnswerFlagged {
         endpoint,
-        age: age(age_ms),
+        age: age_from_millis(age_ms),
     })
 }
 
-/// Adds a line to the lines of an event received so far. Returns whether the event is complete.
+/// Appends a line to `partial`, the lines of an event received so far. Returns whether the event is
+/// complete.
 pub(super) fn add_line(partial: &mut String, line: &str) -> Result<bool, EventError> {
-    // A comment is a keep-alive and not part of an event.
+    // A comment line is a keep-alive and not part of an event.
     if line.starts_with(':') {
         return Ok(false);
     }
@@ -191,7 +192,7 @@
     }
     partial.push_str(line);
     partial.push('\n');
-    if partial.len() > MAX_EVENT {
+    if partial.len() > MAX_EVENT_BYTES {
         return Err(EventError::TooLong);
     }
     Ok(false)
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -6,18 +6,24 @@
 use tidescale_policy::types::{AttemptOutcome, AttemptResult};
 
 use super::connection::EndpointConnection;
-use super::exchange::{EndedExchange, Exchange, Job};
-use super::outcomes::{AnswerError, AttemptError, AttemptErrorCause};
+use super::exchange::{EndedExchange, Exchange, ExchangeKind};
+use super::outcomes::{AttemptError, AttemptErrorCause, ResponseError};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::clients::Clients;
 use crate::ids::EndpointConnectionKey;
 use crate::log_lines;
 
 impl Upstream {
-    /// Records that an exchange has ended outside the handling of events.
-    pub(super) fn end_later(&mut self, job: Job, endpoint: &str, outcome: AttemptOutcome) {
+    /// Records an exchange that has ended without an event on its connection;
+    /// [`Upstream::notify_ended_exchanges`] notifies the policy of it.
+    pub(super) fn queue_ended_exchange(
+        &mut self,
+        kind: ExchangeKind,
+        endpoint: &str,
+        outcome: AttemptOutcome,
+    ) {
         self.ended.push(EndedExchange {
-            job,
+            kind,
             endpoint: endpoint.to_string(),
             outcome,
             duration: Duration::ZERO,
@@ -25,16 +31,16 @@
         });
     }
 
-    /// Notifies the policy of exchanges that ended outside the handling of events.
+    /// Notifies the policy of the exchanges that have ended without an event on their connection.
     pub fn notify_ended_exchanges(&mut self, clients: &mut Clients, policy: &mut Balancer) {
         for ended in std::mem::take(&mut self.ended) {
             ended.notify(clients, policy);
         }
     }
 
-    /// Ends an exchange that the endpoint has answered. The connection then waits for
-    /// ReadyForQuery.
-    pub(super) fn finish_answered(
+    /// Ends an exchange whose outcome is known, if there is one. The connection then waits for
+    /// ReadyForQuery, for as long as it may take to connect.
+    pub(super) fn finish_completed(
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
@@ -54,7 +60,7 @@
         exchange.finish(endpoint, outcome, context);
     }
 
-    /// Closes a connection that cannot continue, and ends its exchange.
+    /// Closes a connection that has failed, and ends its exchange.
     pub(super) fn fail(
         &mut self,
         key: EndpointConnectionKey,
@@ -90,18 +96,19 @@
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
     ) {
-        let cause = AttemptErrorCause::Malformed(AnswerError::Panicked);
+        let cause = AttemptErrorCause::Malformed(ResponseError::Panicked);
         self.fail(key, cause, context);
     }
 
-    /// The time limit for connecting, for a response or for an idle connection has expired.
+    /// Closes a connection whose deadline has expired: that for connecting, for a response, for
+    /// ReadyForQuery or for being idle.
     pub fn on_deadline(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
         self.fail(key, AttemptErrorCause::TimedOut, context);
     }
 }
 
-/// A reused connection was lost with a written request that was not answered at all: it may have
-/// been dead before.
+/// Whether a reused connection was lost after its request had been written and before any part of
+/// the response: it may have been broken already.
 fn is_stale(connection: &EndpointConnection, cause: &AttemptErrorCause) -> bool {
     let is_unanswered = connection.exchange().is_some_and(Exchange::is_unanswered);
     let is_connection_lost = matches!(
@@ -112,19 +119,20 @@
 }
 
 impl Exchange {
-    /// Forwards a complete response to the client and notifies the policy of the end.
+    /// Forwards the response or the rejection of an invalid request to the client, and notifies the
+    /// policy of the end.
     fn finish(
         mut self,
         endpoint: String,
         outcome: AttemptOutcome,
         context: &mut ExchangeContext<'_>,
     ) {
-        if let Job::Attempt(id) = self.job {
+        if let ExchangeKind::Attempt(id) = self.kind {
             match outcome {
                 AttemptOutcome::Succeeded => {
                     context
                         .clients
-                        .complete_request(id.request, &mut self.answer);
+                        .complete_request(id.request, &mut self.response);
                 }
                 AttemptOutcome::InvalidRequest => {
                     context.clients.answer_invalid_request(id.request);
@@ -133,7 +141,7 @@
             }
         }
         let ended = EndedExchange {
-            job: self.job,
+            kind: self.kind,
             endpoint,
             outcome,
             duration: context.io.now - self.started_at,
@@ -145,8 +153,8 @@
 
 impl EndedExchange {
     fn notify(self, clients: &mut Clients, policy: &mut Balancer) {
-        match self.job {
-            Job::Attempt(id) => {
+        match self.kind {
+            ExchangeKind::Attempt(id) => {
                 let result = AttemptResult {
                     outcome: self.outcome,
                     duration: self.duration,
@@ -156,7 +164,9 @@
                 policy.on_attempt_result(id, result);
                 clients.on_attempt_ended(id);
             }
-            Job::HealthCheck => policy.on_health_check(&self.endpoint, self.outcome, self.load),
+            ExchangeKind::HealthCheck => {
+                policy.on_health_check(&self.endpoint, self.outcome, self.load);
+            }
         }
     }
 }
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -1,4 +1,4 @@
-//! Handling what endpoints send: parts of responses, errors, load reports, and ReadyForQuery.
+//! Handling messages from endpoints: responses, errors, load reports and ReadyForQuery.
 
 use std::io;
 
@@ -6,8 +6,8 @@
 use tidescale_policy::types::AttemptOutcome;
 
 use super::connection::EndpointConnection;
-use super::exchange::Job;
-use super::outcomes::{AnswerError, AttemptErrorCause, is_known_sqlstate, outcome_of_sqlstate};
+use super::exchange::ExchangeKind;
+use super::outcomes::{AttemptErrorCause, ResponseError, is_known_sqlstate, outcome_of_sqlstate};
 use super::{ExchangeContext, Upstream, set_deadline};
 use crate::buffers::Fill;
 use crate::context::IoContext;
@@ -17,9 +17,9 @@
 use crate::postgres::framing::MAX_DATA_ROW_BODY;
 use crate::postgres::{self, EndpointMessage, Frame, whole_frame};
 
-/// Bytes read before they are handled: the longest message and some more.
+/// The most bytes to read before they are handled: the longest message and some more.
 const READ_AHEAD: usize = MAX_DATA_ROW_BODY + 4096;
-/// The parameter with which endpoints report their load.
+/// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
 
 /// Whether the endpoint accepts another query on the connection.
@@ -30,7 +30,8 @@
 }
 
 impl Upstream {
-    /// Reads what an endpoint has sent, forwards responses and notifies the policy.
+    /// Writes pending output and handles what the endpoint has sent: forwards responses and
+    /// notifies the policy.
     pub fn serve(&mut self, key: EndpointConnectionKey, context: &mut ExchangeContext<'_>) {
         self.write(key, context.io, context.clients);
         let Some(connection) = self.connections.get_mut(key) else {
@@ -41,7 +42,7 @@
             self.pending.push(key);
         }
         let handled = self.handle_messages(key, context);
-        self.finish_answered(key, context);
+        self.finish_completed(key, context);
         match handled {
             Err(error) => {
                 return self.fail(key, AttemptErrorCause::Malformed(error), context);
@@ -52,7 +53,8 @@
         self.continue_after_read(key, read, context);
     }
 
-    /// Reads again in the next iteration, or ends a connection that has ended.
+    /// Schedules another read for the next iteration if there may be more input. Closes the
+    /// connection if it has ended or failed.
     fn continue_after_read(
         &mut self,
         key: EndpointConnectionKey,
@@ -67,27 +69,29 @@
         }
     }
 
-    /// Keeps a connection whose endpoint accepts another query, unless more was received than one
-    /// response.
+    /// Keeps a connection whose endpoint accepts another query, or closes it if input is left after
+    /// the response.
     fn release(&mut self, key: EndpointConnectionKey, context: &mut IoContext) {
         let has_more = self
             .connections
             .get(key)
             .is_some_and(|connection| !connection.connection.input.is_empty());
         if has_more {
-            // A duplicate response, for example, would be taken for the response to the next query.
+            // The input, such as a duplicate response, would be taken for the response to the next
+            // query.
             self.close(key, context);
         } else {
             self.keep_idle(key, context);
         }
     }
 
-    /// Handles messages in their order.
+    /// Handles all complete messages in the input, in order. Returns whether the endpoint accepts
+    /// another query.
     fn handle_messages(
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
-    ) -> Result<QueryReadiness, AnswerError> {
+    ) -> Result<QueryReadiness, ResponseError> {
         let mut body = Vec::new();
         let mut readiness = QueryReadiness::NotReady;
         while let Some(connection) = self.connections.get_mut(key) {
@@ -115,7 +119,7 @@
         frame: Frame<EndpointMessage>,
         body: &mut Vec<u8>,
         context: &IoContext,
-    ) -> Result<(), AnswerError> {
+    ) -> Result<(), ResponseError> {
         let health_check = self.health_check_query();
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
@@ -124,7 +128,7 @@
             EndpointMessage::RowDescription
             | EndpointMessage::DataRow
             | EndpointMessage::CommandComplete => {
-                connection.take_answer_part(frame, body, health_check)?;
+                connection.take_response_part(frame, body, health_check)?;
             }
             EndpointMessage::Authentication => {
                 connection.take_body(frame, body);
@@ -132,11 +136,11 @@
             }
             EndpointMessage::ParameterStatus => {
                 connection.take_body(frame, body);
-                take_parameter(connection, body, context);
+                record_parameter(connection, body, context);
             }
             EndpointMessage::Error => {
                 connection.take_body(frame, body);
-                take_error(connection, body, context)?;
+                record_error(connection, body, context)?;
             }
             EndpointMessage::BackendKeyData
             | EndpointMessage::Notice
@@ -145,27 +149,28 @@
         Ok(())
     }
 
-    /// The endpoint accepts a query: that of the exchange for which the connection was opened, or
-    /// another one.
+    /// Handles ReadyForQuery. On a new connection, writes the query of the exchange for which the
+    /// connection was opened. Otherwise, the endpoint accepts another query.
     fn on_ready_for_query(
         &mut self,
         key: EndpointConnectionKey,
         context: &mut ExchangeContext<'_>,
-    ) -> Result<QueryReadiness, AnswerError> {
+    ) -> Result<QueryReadiness, ResponseError> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(QueryReadiness::NotReady);
         };
         if !connection.is_connecting() {
             return if connection.open_exchange().is_some() {
-                Err(AnswerError::Missing)
+                Err(ResponseError::Missing)
             } else {
                 Ok(QueryReadiness::Ready)
             };
         }
         connection.finish_connecting();
-        // The guards of the policy may have changed since it chose the endpoint.
+        // The policy may no longer allow the attempt that it started before the connection was
+        // established.
         if let Some(exchange) = connection.open_exchange()
-            && let Job::Attempt(id) = exchange.job
+            && let ExchangeKind::Attempt(id) = exchange.kind
             && !context.may_still_write(id)
         {
             exchange.outcome = Some(AttemptOutcome::NotSent);
@@ -181,8 +186,9 @@
     }
 }
 
-/// Records a load report. One that cannot be parsed does not invalidate the response.
-fn take_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
+/// Records a load report; ignores other parameters. A load report that cannot be parsed does not
+/// invalidate the response.
+fn record_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
     let Ok(parameter) = postgres::parameter(body) else {
         return;
     };
@@ -198,13 +204,13 @@
     }
 }
 
-/// Records an error response. While connecting, it means that the endpoint has refused the
-/// connection.
-fn take_error(
+/// Records the outcome of an error response. While connecting, an error that does not report an
+/// overload means that the endpoint has refused the connection.
+fn record_error(
     connection: &mut EndpointConnection,
     body: &[u8],
     context: &IoContext,
-) -> Result<(), AnswerError> {
+) -> Result<(), ResponseError> {
     let error = postgres::error(body)?;
     if !is_known_sqlstate(&error.code) {
         log_lines::unknown_endpoint_error(&context.log, &connection.endpoint, &error);
--- a/crates/proxy/src/votes/wire.rs
+++ b/crates/proxy/src/votes/wire.rs
@@ -9,7 +9,7 @@
 pub struct VoteResponse {
     /// The result of the vote.
     pub result: VoteResult,
-    /// The rollout status after an accepted vote.
+    /// The rollout status, which the response to an accepted vote contains.
     pub rollout_status: Option<StatusMessage>,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// Encodes a vote as a form.
-pub(super) fn form(ballot: Ballot) -> String {
+/// Encodes a vote as a URL-encoded form.
+pub(super) fn encode_form(ballot: Ballot) -> String {
     let Ballot { build, stage, vote } = ballot;
-    let opinion = match vote {
+    let vote_name = match vote {
         Vote::Abstain => "clear",
         Vote::Advance => "approve",
         Vote::Hold => "wait",
@@ -35,11 +35,11 @@
         .append_pair("Action", "RecordOpinion")
         .append_pair("version", &build.to_string())
         .append_pair("step", &stage.to_string())
-        .append_pair("vote", opinion)
+        .append_pair("vote", vote_name)
         .finish()
 }
 
-/// Parses the status code and the XML body of a response; `None` if they are invalid.
+/// Parses a response from its HTTP status code and its XML body; `None` if it is invalid.
 pub fn parse_response(status: u16, body: &[u8]) -> Option<VoteResponse> {
     let text = std::str::from_utf8(body).ok()?;
     let document = roxmltree::Document::parse(text).ok()?;
