--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -27,7 +27,7 @@
 #[derive(Subcommand)]
 pub enum Command {
     /// Serve; this is the default command.
-    Run(Run),
+    Run(RunArgs),
     /// Show, check or clear the snapshots of a proxy instance.
     // The alias is the former name of the command, which scripts may still use.
     #[command(subcommand, alias = "memory")]
@@ -42,7 +42,7 @@
 
 /// The arguments of `run`.
 #[derive(Args, Default)]
-pub struct Run {
+pub struct RunArgs {
     /// The operators' file; without one, its features are disabled.
     #[arg(long, value_name = "FILE")]
     pub operators: Option<PathBuf>,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -21,7 +21,7 @@
     Unreadable(#[from] io::Error),
     /// It is not JSON, or a field is missing or invalid.
     #[error(transparent)]
-    Form(#[from] serde_json::Error),
+    Parse(#[from] serde_json::Error),
     /// The seed is not a hexadecimal number.
     #[error("seed: not hexadecimal: {seed}")]
     Seed {
@@ -99,9 +99,9 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or those of [`read`].
+/// The file cannot be read, or those of [`parse`].
 pub fn read_file(path: &Path) -> Result<Config, ConfigError> {
-    read(&std::fs::read_to_string(path)?)
+    parse(&std::fs::read_to_string(path)?)
 }
 
 /// Decodes a configuration.
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// It is invalid; the error names the field.
-pub fn read(text: &str) -> Result<Config, ConfigError> {
+pub fn parse(text: &str) -> Result<Config, ConfigError> {
     let file: ConfigFile = serde_json::from_str(text)?;
     let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
         return Err(ConfigError::Seed { seed: file.seed });
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -18,7 +18,7 @@
 use crate::context::{IoContext, ReadyEvents};
 use crate::deadlines::Deadlines;
 use crate::log_lines::{self, RestoredSnapshot};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::proxy::{Decisions, IterationEvents, Proxy, ProxyError, StartEvents};
 use crate::resource_budget::BufferBudget;
 use crate::snapshot_writer::{self, SnapshotWriter};
@@ -127,7 +127,7 @@
 
     /// Restores what an earlier process has learned, as far as it still counts, and writes
     /// snapshots from now on. Does nothing if the operators' file names no folder for snapshots.
-    pub fn enable_snapshots(&mut self, operators: &Operators) {
+    pub fn enable_snapshots(&mut self, operators: &OperatorSettings) {
         let Some(settings) = &operators.snapshot else {
             return;
         };
@@ -139,8 +139,12 @@
             return;
         };
         if let Some(snapshot) = snapshot {
-            let restored =
-                snapshot_writer::restore(&snapshot, &proxy.directory(), now, &mut self.policy);
+            let restored = snapshot_writer::restore(
+                &snapshot,
+                &proxy.listed_processes(),
+                now,
+                &mut self.policy,
+            );
             let summary = RestoredSnapshot {
                 records: snapshot.records.len(),
                 restored,
@@ -236,14 +240,22 @@
     fn write_snapshot_slice(&mut self) {
         if let Some(writer) = &mut self.snapshot_writer {
             let now = self.clock.now();
-            writer.run_slice(&self.proxy.borrow().directory(), now, &mut self.policy);
+            writer.run_slice(
+                &self.proxy.borrow().listed_processes(),
+                now,
+                &mut self.policy,
+            );
         }
     }
 
     fn write_final_snapshot(&mut self) {
         if let Some(writer) = &mut self.snapshot_writer {
             let now = self.clock.now();
-            writer.write_final(&self.proxy.borrow().directory(), now, &mut self.policy);
+            writer.write_final(
+                &self.proxy.borrow().listed_processes(),
+                now,
+                &mut self.policy,
+            );
         }
     }
 }
@@ -270,7 +282,7 @@
 /// Those of [`ProxyInstance::new`] and [`ProxyInstance::run_iteration`].
 pub fn run(
     config: &Config,
-    operators: &Operators,
+    operators: &OperatorSettings,
     config_path: PathBuf,
     listen: impl FnOnce() -> io::Result<TcpListener>,
     log: Logger,
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -56,14 +56,14 @@
 }
 
 /// A drain that suppresses lines over the rate limit and lines that standard error does not accept.
-struct LimitedDrain<D> {
+struct RateLimitedDrain<D> {
     limiter: Mutex<RateLimiter>,
     /// Lines that standard error did not accept since it last accepted one.
     dropped: AtomicU32,
     drain: D,
 }
 
-impl<D: Drain<Ok = (), Err = io::Error>> Drain for LimitedDrain<D> {
+impl<D: Drain<Ok = (), Err = io::Error>> Drain for RateLimitedDrain<D> {
     type Ok = ();
     type Err = Never;
 
@@ -80,7 +80,7 @@
         let Some(suppressed) = admitted else {
             return Ok(());
         };
-        if !stderr_accepts_a_line() {
+        if !stderr_is_writable() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
@@ -98,7 +98,7 @@
 
 /// Whether a line can be written without blocking: a pipe that nobody reads would stall the whole
 /// proxy.
-fn stderr_accepts_a_line() -> bool {
+fn stderr_is_writable() -> bool {
     let stderr = io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
     // A pipe that is ready accepts a page, which is more than a line.
@@ -108,7 +108,7 @@
 /// A logger that writes lines from level info up to standard error.
 pub fn stderr_logger() -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
-    let limited = LimitedDrain {
+    let limited = RateLimitedDrain {
         limiter: Mutex::default(),
         dropped: AtomicU32::new(0),
         drain: slog_term::FullFormat::new(decorator).build(),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -32,8 +32,8 @@
     }
 }
 
-fn serve(operators: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
-    start::serve(std::env::var_os("PROXY_CONFIG"), operators)?;
+fn serve(operators_path: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
+    start::serve(std::env::var_os("PROXY_CONFIG"), operators_path)?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -14,13 +14,13 @@
 
 /// Why an operators' file is invalid.
 #[derive(Debug, thiserror::Error)]
-pub enum OperatorsError {
+pub enum OperatorSettingsError {
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
     /// It is not TOML, or a field is unknown, missing or invalid.
     #[error("line {line}, `{text}`: {message}")]
-    Form {
+    Parse {
         /// The line number, from 1.
         line: usize,
         /// The text of the line.
@@ -50,7 +50,7 @@
 /// The contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operators {
+pub struct OperatorSettings {
     /// Snapshots of what the instance has learned; `None` disables them.
     #[serde(rename = "memory")]
     pub snapshot: Option<SnapshotSettings>,
@@ -137,9 +137,9 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read, or those of [`read`].
-pub fn read_file(path: &Path) -> Result<Operators, OperatorsError> {
-    read(&std::fs::read_to_string(path)?)
+/// The file cannot be read, or those of [`parse`].
+pub fn read_file(path: &Path) -> Result<OperatorSettings, OperatorSettingsError> {
+    parse(&std::fs::read_to_string(path)?)
 }
 
 /// Decodes the text of an operators' file.
@@ -147,21 +147,22 @@
 /// # Errors
 ///
 /// It is invalid; the error names the line or the field.
-pub fn read(text: &str) -> Result<Operators, OperatorsError> {
-    let operators: Operators = toml::from_str(text).map_err(|error| form_error(text, &error))?;
+pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
+    let operators: OperatorSettings =
+        toml::from_str(text).map_err(|error| parse_error(text, &error))?;
     if let Some(snapshot) = &operators.snapshot {
         check_bounds(snapshot)?;
         if snapshot.folder.as_os_str().is_empty() {
-            return Err(OperatorsError::EmptyFolder);
+            return Err(OperatorSettingsError::EmptyFolder);
         }
     }
     Ok(operators)
 }
 
-fn form_error(text: &str, error: &toml::de::Error) -> OperatorsError {
+fn parse_error(text: &str, error: &toml::de::Error) -> OperatorSettingsError {
     let before = error.span().and_then(|span| text.get(..span.start));
     let line_index = before.map_or(0, |before| before.matches('\n').count());
-    OperatorsError::Form {
+    OperatorSettingsError::Parse {
         line: line_index + 1,
         text: text
             .lines()
@@ -173,7 +174,7 @@
     }
 }
 
-fn check_bounds(settings: &SnapshotSettings) -> Result<(), OperatorsError> {
+fn check_bounds(settings: &SnapshotSettings) -> Result<(), OperatorSettingsError> {
     let millis = Duration::from_millis;
     let duration = |value| humantime::format_duration(value);
     check(
@@ -207,11 +208,11 @@
     value: T,
     bounds: RangeInclusive<T>,
     display: impl Fn(T) -> D,
-) -> Result<(), OperatorsError> {
+) -> Result<(), OperatorSettingsError> {
     if bounds.contains(&value) {
         return Ok(());
     }
-    Err(OperatorsError::OutOfBounds {
+    Err(OperatorSettingsError::OutOfBounds {
         field,
         value: display(value).to_string(),
         least: display(*bounds.start()).to_string(),
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -30,7 +30,7 @@
 use crate::resource_budget::ConnectionBudget;
 use crate::rollout_status::RolloutStatusStream;
 use crate::shutdown::{Shutdown, ShutdownStep};
-use crate::snapshot_writer::EndpointDirectory;
+use crate::snapshot_writer::ListedProcesses;
 use crate::upstream::Upstream;
 use crate::votes::Votes;
 
@@ -103,9 +103,9 @@
         })
     }
 
-    /// What snapshots contain besides the state of the policy.
-    pub(crate) fn directory(&self) -> EndpointDirectory<'_> {
-        EndpointDirectory {
+    /// The endpoint list and the processes in it, which snapshots store besides the policy's state.
+    pub(crate) fn listed_processes(&self) -> ListedProcesses<'_> {
+        ListedProcesses {
             upstream: &self.upstream,
             list_version: self.discovery.list_version(),
             list_confirmed_at: self.discovery.list_confirmed_at(),
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -14,7 +14,7 @@
 
 mod background;
 mod collector;
-mod directory;
+mod listed_processes;
 mod restore;
 
 use std::time::{Duration, Instant};
@@ -32,9 +32,9 @@
 use crate::operators::SnapshotSettings;
 
 use background::{BackgroundWriter, PendingWrite, WriteResult};
-use collector::Collection;
+use collector::RecordCollector;
 
-pub use directory::EndpointDirectory;
+pub use listed_processes::ListedProcesses;
 pub use restore::restore;
 
 /// Priority of writing snapshots among the jobs of the scheduler, of which it is the only one.
@@ -53,10 +53,10 @@
 pub struct SnapshotWriter {
     scheduler: Scheduler,
     job: JobId,
-    collection: Collection,
+    collector: RecordCollector,
     background: BackgroundWriter,
     /// How long shutdown may wait for the final snapshot.
-    shutdown_timeout: Duration,
+    final_write_timeout: Duration,
     /// Duration of the longest slice, which blocks the event loop.
     longest_slice: Duration,
     log: Logger,
@@ -99,9 +99,9 @@
         let writer = SnapshotWriter {
             scheduler,
             job,
-            collection: Collection::default(),
+            collector: RecordCollector::default(),
             background,
-            shutdown_timeout: settings.final_write_timeout,
+            final_write_timeout: settings.final_write_timeout,
             longest_slice: Duration::ZERO,
             log,
         };
@@ -111,7 +111,7 @@
     /// Does one slice of work if the scheduler allows it now.
     pub fn run_slice(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) {
@@ -122,7 +122,7 @@
             return;
         }
         let started_at = Instant::now();
-        if let Some(records) = self.collection.collect_slice(directory, now, policy) {
+        if let Some(records) = self.collector.collect_slice(listed_processes, now, policy) {
             self.submit(records, now);
             self.scheduler.finish(self.job, now);
         }
@@ -140,12 +140,12 @@
     /// configured.
     pub fn write_final(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) {
-        let deadline = Instant::now() + self.shutdown_timeout;
-        let records = self.collection.collect_all(directory, now, policy);
+        let deadline = Instant::now() + self.final_write_timeout;
+        let records = self.collector.collect_all(listed_processes, now, policy);
         // The thread refuses the final snapshot while another one waits.
         if self.wait_for_last_result(deadline, now).is_some() {
             self.submit(records, now);
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -50,12 +50,12 @@
     pub(super) fn start<D: Disk + Send + 'static>(
         mut store: Store<D>,
     ) -> io::Result<BackgroundWriter> {
-        let (writes, writes_out) = sync_channel::<PendingWrite>(MAX_WAITING);
-        let (results_in, results) = sync_channel(MAX_RESULTS);
+        let (writes, write_receiver) = sync_channel::<PendingWrite>(MAX_WAITING);
+        let (result_sender, results) = sync_channel(MAX_RESULTS);
         let work = move || {
-            for write in writes_out {
+            for write in write_receiver {
                 let result = store.save(write.written_at, write.records);
-                if results_in.send(result).is_err() {
+                if result_sender.send(result).is_err() {
                     return;
                 }
             }
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -9,7 +9,7 @@
 use tidescale_policy::types::{BuildNumber, EndpointIndex, EndpointState, Timestamp};
 use tidescale_snapshot::records::{self, ListedState, Record, ReportedLoad};
 
-use super::directory::EndpointDirectory;
+use super::listed_processes::ListedProcesses;
 
 /// Endpoints, or outcomes of endpoints, in a slice; they take a few tens of microseconds.
 const SLICE_LENGTH: usize = 64;
@@ -22,7 +22,7 @@
     /// The outcomes with this key.
     Outcomes(OutcomeKey),
     /// All other records.
-    Rest,
+    Remaining,
 }
 
 impl Cursor {
@@ -34,32 +34,32 @@
 }
 
 /// The records of a snapshot that were collected so far.
-pub(super) struct Collection {
+pub(super) struct RecordCollector {
     records: Vec<Record>,
     cursor: Cursor,
 }
 
-impl Default for Collection {
-    fn default() -> Collection {
-        Collection {
+impl Default for RecordCollector {
+    fn default() -> RecordCollector {
+        RecordCollector {
             records: Vec::new(),
             cursor: Cursor::START,
         }
     }
 }
 
-impl Collection {
+impl RecordCollector {
     /// Collects some endpoints or outcomes, or all other records. Returns the records of the
     /// snapshot once they are complete.
     pub(super) fn collect_slice(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) -> Option<Vec<Record>> {
-        let mut sink = Collector {
+        let mut sink = RecordSink {
             now,
-            directory,
+            listed_processes,
             records: &mut self.records,
         };
         match self.cursor {
@@ -70,10 +70,10 @@
             }
             Cursor::Outcomes(position) => {
                 let next = policy.save_outcomes(position, SLICE_LENGTH, &mut sink);
-                self.cursor = next.map_or(Cursor::Rest, Cursor::Outcomes);
+                self.cursor = next.map_or(Cursor::Remaining, Cursor::Outcomes);
                 None
             }
-            Cursor::Rest => {
+            Cursor::Remaining => {
                 policy.save_remaining_records(&mut sink);
                 self.cursor = Cursor::START;
                 // The file is cut at its maximum length: the records collected last are the most
@@ -87,13 +87,13 @@
     /// Collects all records from the start, in one go.
     pub(super) fn collect_all(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) -> Vec<Record> {
-        *self = Collection::default();
+        *self = RecordCollector::default();
         loop {
-            if let Some(records) = self.collect_slice(directory, now, policy) {
+            if let Some(records) = self.collect_slice(listed_processes, now, policy) {
                 return records;
             }
         }
@@ -101,20 +101,20 @@
 }
 
 /// Receives the records of the policy and converts them to stored records.
-struct Collector<'a> {
+struct RecordSink<'a> {
     now: Timestamp,
-    directory: &'a EndpointDirectory<'a>,
+    listed_processes: &'a ListedProcesses<'a>,
     records: &'a mut Vec<Record>,
 }
 
-impl SnapshotSink for Collector<'_> {
+impl SnapshotSink for RecordSink<'_> {
     fn endpoint(&mut self, record: EndpointRecord<'_>) {
-        let Some(process) = self.directory.process(record.name) else {
+        let Some(process) = self.listed_processes.process(record.name) else {
             return;
         };
         let listed = records::ListedEndpointRecord {
-            observed_at: self.directory.list_confirmed_at,
-            list_version: self.directory.list_version,
+            observed_at: self.listed_processes.list_confirmed_at,
+            list_version: self.listed_processes.list_version,
             process: process.clone(),
             zone: record.zone.into(),
             hardware_class: record.hardware_class.into(),
@@ -161,7 +161,7 @@
     }
 
     fn outcomes(&mut self, record: OutcomeRecord<'_>) {
-        let Some(process) = self.directory.process(record.endpoint) else {
+        let Some(process) = self.listed_processes.process(record.endpoint) else {
             return;
         };
         let stored = records::OutcomeRecord {
--- a/crates/proxy/src/snapshot_writer/directory.rs
+++ b/crates/proxy/src/snapshot_writer/listed_processes.rs
@@ -7,7 +7,7 @@
 use crate::upstream::Upstream;
 
 /// The endpoint list as the proxy knows it.
-pub struct EndpointDirectory<'a> {
+pub struct ListedProcesses<'a> {
     /// The processes of the endpoints.
     pub upstream: &'a Upstream,
     /// Version of the endpoint list.
@@ -16,7 +16,7 @@
     pub list_confirmed_at: Timestamp,
 }
 
-impl EndpointDirectory<'_> {
+impl ListedProcesses<'_> {
     /// The process listed under this name.
     pub(super) fn process(&self, endpoint: &str) -> Option<Process> {
         let identity = self.upstream.process_of(endpoint)?;
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -7,7 +7,7 @@
 use tidescale_snapshot::format::Snapshot;
 use tidescale_snapshot::records::{self, Process, Record, RolloutPhase};
 
-use super::directory::EndpointDirectory;
+use super::listed_processes::ListedProcesses;
 
 /// Restores the records of the snapshot that still count to the policy, and returns their number.
 ///
@@ -15,21 +15,21 @@
 /// already.
 pub fn restore(
     snapshot: &Snapshot,
-    directory: &EndpointDirectory<'_>,
+    listed_processes: &ListedProcesses<'_>,
     now: Timestamp,
     policy: &mut Balancer,
 ) -> usize {
     let mut restorer = Restorer {
-        directory,
+        listed_processes,
         now,
         rollout_continues: rollout_continues(snapshot, policy),
         policy,
     };
-    let mut counted = 0;
+    let mut restored_count = 0;
     for record in &snapshot.records {
-        counted += usize::from(restorer.restore(record));
+        restored_count += usize::from(restorer.restore(record));
     }
-    counted
+    restored_count
 }
 
 /// Whether the build that was under evaluation when the snapshot was written still is.
@@ -45,7 +45,7 @@
 }
 
 struct Restorer<'a> {
-    directory: &'a EndpointDirectory<'a>,
+    listed_processes: &'a ListedProcesses<'a>,
     now: Timestamp,
     rollout_continues: bool,
     policy: &'a mut Balancer,
@@ -54,20 +54,20 @@
 impl Restorer<'_> {
     /// Restores one record if it still counts. Returns whether it does.
     fn restore(&mut self, record: &Record) -> bool {
-        let counts = expiry::weight(record, self.now) > 0.0;
+        let unexpired = expiry::weight(record, self.now) > 0.0;
         match record {
             Record::Endpoint(record) => self.restore_endpoint(record),
             Record::Outcomes(record) => self.restore_outcomes(record),
             Record::Route(record) => self.restore_route(record),
             Record::Zones(record) => self.restore_zones(record),
             Record::FleetBaseline(record) => self.restore_fleet_baseline(record),
-            Record::HardwareClass(record) if counts => self.restore_hardware_class(record),
-            Record::RejectedBuild(record) if counts => {
+            Record::HardwareClass(record) if unexpired => self.restore_hardware_class(record),
+            Record::RejectedBuild(record) if unexpired => {
                 self.policy
                     .restore_rejected_build(record.build, record.observed_at);
                 true
             }
-            Record::KeyBuild(record) if counts => {
+            Record::KeyBuild(record) if unexpired => {
                 self.policy.restore_key_build(&record.key, record.build);
                 true
             }
@@ -147,7 +147,7 @@
 
     /// Whether the endpoint with this name is still the recorded process.
     fn match_process(&self, recorded: &Process) -> ProcessMatch {
-        let listed = self.directory.process(&recorded.endpoint);
+        let listed = self.listed_processes.process(&recorded.endpoint);
         ProcessMatch::compare(recorded, listed.as_ref())
     }
 }
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -10,7 +10,7 @@
 use crate::config::{self, ConfigError};
 use crate::event_loop::{self, EventLoopError};
 use crate::logging;
-use crate::operators::{self, Operators, OperatorsError};
+use crate::operators::{self, OperatorSettings, OperatorSettingsError};
 
 /// Most connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
@@ -31,11 +31,11 @@
     },
     /// The operators' file is invalid.
     #[error("{}: {source}", path.display())]
-    Operators {
+    OperatorSettings {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
-        source: OperatorsError,
+        source: OperatorSettingsError,
     },
     /// The event loop did not start, or failed.
     #[error(transparent)]
@@ -48,18 +48,23 @@
 /// # Errors
 ///
 /// A file is invalid, the address cannot be listened on, or the event loop fails.
-pub fn serve(config_path: Option<OsString>, operators: Option<&Path>) -> Result<(), StartError> {
+pub fn serve(
+    config_path: Option<OsString>,
+    operators_path: Option<&Path>,
+) -> Result<(), StartError> {
     let config_path = PathBuf::from(config_path.ok_or(StartError::NoConfiguration)?);
     let config = config::read_file(&config_path).map_err(|source| StartError::Configuration {
         path: config_path.clone(),
         source,
     })?;
-    let operators = match operators {
-        None => Operators::default(),
-        Some(path) => operators::read_file(path).map_err(|source| StartError::Operators {
-            path: path.into(),
-            source,
-        })?,
+    let operators = match operators_path {
+        None => OperatorSettings::default(),
+        Some(path) => {
+            operators::read_file(path).map_err(|source| StartError::OperatorSettings {
+                path: path.into(),
+                source,
+            })?
+        }
     };
     let listen = || listen(config.listen);
     let log = logging::stderr_logger();
