--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, and the commands other than `run`.
+//! The command-line interface: the argument parser and all commands other than `run`.
 
 mod snapshot_command;
 
@@ -54,15 +54,15 @@
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: io::Error,
     },
     /// Standard input cannot be read.
     #[error("standard input: {0}")]
     ReadStandardInput(#[source] io::Error),
-    /// There is no complete snapshot to show.
+    /// The directory or file contains no complete snapshot.
     #[error("{}: no whole snapshot", .0.display())]
     NoSnapshot(PathBuf),
     /// The path to clear is not a directory.
@@ -71,23 +71,23 @@
     /// The directory to clear cannot be locked.
     #[error("{}: {source}", path.display())]
     Lock {
-        /// The directory.
+        /// The path of the directory.
         path: PathBuf,
-        /// The reason.
+        /// Why the lock was not acquired.
         source: LockError,
     },
-    /// A file cannot be removed.
+    /// A snapshot file cannot be removed.
     #[error("{}: {source}", path.display())]
     Clear {
-        /// The directory.
+        /// The path of the directory.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
-/// Prints the rollback verdicts of a log, by default of standard input. The exit code is 1 if there
-/// are none.
+/// Prints the rollback verdicts in a log file, or in standard input if no file is given. The exit
+/// code is 1 if there are none.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -1,4 +1,5 @@
-//! `tidescale snapshot`: shows, checks and clears the snapshots of a proxy instance.
+//! The command `tidescale snapshot`, which shows, checks and removes the snapshots of a proxy
+//! instance.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -43,11 +44,13 @@
     },
 }
 
-/// Runs a command. The exit code is 1 if a file is damaged.
+/// Runs a `snapshot` command. The exit code is 1 if a snapshot file is damaged, or if `check` finds
+/// no complete snapshot.
 ///
 /// # Errors
 ///
-/// There is nothing to show, or a file or directory cannot be used.
+/// There is no complete snapshot to show, a file cannot be read or removed, or the directory cannot
+/// be locked.
 pub fn snapshot(command: &SnapshotCommand) -> Result<ExitCode, CliError> {
     match command {
         SnapshotCommand::Show { path, json: true } => show(path, print_json),
@@ -107,7 +110,7 @@
     }
 }
 
-/// Reads the newest complete snapshot of a directory, or one file.
+/// Reads the newest complete snapshot in a directory, or the snapshot in a single file.
 fn read_newest(path: &Path) -> Result<Opened, CliError> {
     if path.is_dir() {
         return Ok(store::newest(&mut Directory::without_lock(path)));
@@ -128,7 +131,8 @@
     Ok(opened)
 }
 
-/// Reads the file up to the length that decoding can use.
+/// Reads at most [`format::READ_LIMIT`] bytes of the file, which suffice to decode it or to find
+/// that it is too long.
 fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?
@@ -142,7 +146,7 @@
     Timestamp::ZERO + since_epoch.unwrap_or_default()
 }
 
-/// Prints JSON. The field names are part of the interface: programs read them.
+/// Prints the snapshot as JSON. Scripts depend on the field names, so they must not change.
 fn print_json(snapshot: &Snapshot, now: Timestamp) {
     let listed = snapshot.listed_processes();
     let records: Vec<_> = snapshot
@@ -182,7 +186,8 @@
     );
 }
 
-/// The current weight of a record, given the endpoint list in the same snapshot.
+/// The current weight of a record. A record about a process has the weight 0 unless the endpoint
+/// list in the same snapshot has this process under the same endpoint name.
 fn weight(record: &Record, listed: &BTreeMap<&str, &Process>, now: Timestamp) -> f64 {
     let process_match = record.observed_process().map(|process| {
         let listed = listed.get(process.endpoint.as_str()).copied();
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,5 +1,4 @@
-//! The configuration file that the platform writes. It is decoded at the start and again at each
-//! SIGHUP.
+//! The configuration file that the platform writes. It is parsed on startup and reloaded on SIGHUP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,22 +18,22 @@
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is not JSON, or a field is missing or invalid.
+    /// The file is not JSON, or a field outside `settings` is missing or invalid.
     #[error(transparent)]
     Parse(#[from] serde_json::Error),
     /// The seed is not a hexadecimal number.
     #[error("seed: not hexadecimal: {seed}")]
     Seed {
-        /// Its value.
+        /// The value in the file.
         seed: String,
     },
-    /// A setting is missing or out of range.
+    /// A setting is missing or invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// A route with streaming responses, which the protocol does not support.
+    /// A route is configured with streaming responses, which the protocol does not support.
     #[error("settings: {field}: answers do not stream over this protocol")]
     StreamingRoute {
-        /// The setting of the route.
+        /// The path of the setting.
         field: String,
     },
 }
@@ -45,31 +44,32 @@
     }
 }
 
-/// The decoded and validated configuration.
+/// The parsed and validated configuration.
 pub struct Config {
-    /// The address to listen on for clients.
+    /// The address on which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// The address of discovery, for the endpoint list.
+    /// The address of the discovery service, which sends the endpoint list.
     pub discovery: SocketAddr,
-    /// The address of the platform, for the rollout status and votes.
+    /// The address of the platform, which sends the rollout status and receives votes.
     pub platform: SocketAddr,
-    /// The seed of all random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Memory that the process may use, in MiB.
+    /// The memory limit of the process, in MiB.
     pub memory_mb: usize,
-    /// Descriptors that the process may open.
+    /// The maximum number of file descriptors that the process may open.
     pub descriptor_limit: usize,
-    /// The rollout status, until the platform announces a newer one.
+    /// The initial rollout status, used until the platform sends a newer one.
     pub rollout_status: Option<StatusMessage>,
-    /// The endpoint list, until discovery sends a newer one.
+    /// The initial endpoint list, used until discovery sends a newer one.
     pub known_endpoints: EndpointList,
-    /// The settings of the policy.
+    /// The settings of the load-balancing policy.
     pub settings: Settings,
     /// The settings of connections.
     pub connections: ConnectionSettings,
 }
 
-/// The format of the file; its keys are defined by the platform.
+/// The structure of the file. The platform defines its keys, so fields with another name have a
+/// `rename` attribute.
 #[derive(Deserialize)]
 struct ConfigFile {
     listen: SocketAddr,
@@ -95,20 +95,20 @@
     rollout_status: Option<StatusMessage>,
 }
 
-/// Reads a configuration file.
+/// Reads and parses a configuration file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or those of [`parse`].
+/// The file cannot be read, or [`parse`] fails.
 pub fn read_file(path: &Path) -> Result<Config, ConfigError> {
     parse(&std::fs::read_to_string(path)?)
 }
 
-/// Decodes a configuration.
+/// Parses and validates the text of a configuration file.
 ///
 /// # Errors
 ///
-/// It is invalid; the error names the field.
+/// The configuration is invalid; the error names the field.
 pub fn parse(text: &str) -> Result<Config, ConfigError> {
     let file: ConfigFile = serde_json::from_str(text)?;
     let Ok(seed) = u64::from_str_radix(&file.seed, 16) else {
@@ -143,8 +143,8 @@
     Ok(())
 }
 
-/// Flattens nested settings to pairs of path and text: fields as `a.b`; lists as `a.count`, `a.0`,
-/// … and, joined by commas, `a`.
+/// Flattens nested settings to pairs of a path and a text value. A field has the path `a.b`. A list
+/// has the paths `a.count`, `a.0`, `a.1` and so on, and `a` with all items joined by commas.
 fn flatten_settings(settings: &Value) -> RawSettings {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
@@ -179,7 +179,7 @@
     }
 }
 
-/// A string without quotes, any other value as JSON.
+/// The text of a string without quotes; any other value as JSON.
 fn plain_text(value: &Value) -> String {
     value
         .as_str()
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The policy as a proxy on real sockets.
+//! A PostgreSQL proxy that balances requests over endpoints with the policy of `tidescale_policy`.
 //!
-//! [`event_loop`] runs the iterations. `proxy` owns all connections and passes events on to the
-//! component that they belong to: [`clients`], [`upstream`], [`discovery`], [`rollout_status`] and
-//! [`votes`]. The codecs ([`postgres`], [`http`]) and the tables ([`slots`], [`deadlines`],
-//! [`buffers`]) do no I/O. [`log_lines`] has all lines of the log.
+//! [`event_loop`] waits for events and handles them. `proxy` owns all connections and dispatches
+//! each event to its component: [`clients`], [`upstream`], [`discovery`], [`rollout_status`] or
+//! [`votes`]. The codecs ([`postgres`], [`http`]) and the data structures ([`slots`],
+//! [`deadlines`], [`buffers`]) do no I/O. [`log_lines`] defines all log lines from level info up.
 
 pub mod buffers;
 pub mod cli;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! `tidescale`: parses the command line and runs the command. A failure is one line on standard
-//! error.
+//! The `tidescale` binary: parses the command line and runs the command. An error is reported as
+//! one line on standard error.
 
 use std::error::Error;
 use std::path::Path;
@@ -37,12 +37,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The parsed command line. If there is nothing to run, prints help or one line with the error, and
-/// returns the exit code.
+/// Parses the command line. For `--help`, `--version` and invalid arguments, prints the help, the
+/// version or one line with the error, and returns the exit code as `Err`.
 fn parse_arguments() -> Result<Cli, ExitCode> {
     Cli::try_parse().map_err(|error| {
         if !error.use_stderr() {
-            // A failure to print the help is not an error.
+            // A failure to print the help or the version is ignored.
             let _ = error.print();
             return ExitCode::SUCCESS;
         }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' file: features of an installation that the platform does not configure. All are
-//! disabled by default.
+//! The operators' file, a TOML file with settings for features that the platform does not
+//! configure. All of these features are disabled by default.
 
 use std::fmt;
 use std::io;
@@ -18,40 +18,40 @@
     /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is not TOML, or a field is unknown, missing or invalid.
+    /// The file is not TOML, or a field is unknown, missing or invalid.
     #[error("line {line}, `{text}`: {message}")]
     Parse {
         /// The line number, from 1.
         line: usize,
         /// The text of the line.
         text: String,
-        /// What is wrong with it.
+        /// The parser's message.
         message: String,
     },
-    /// A value is too small or too large.
+    /// A value is outside its allowed range.
     #[error(
         "{field}: out of its bounds: {value} is not within {least} and {most}, see docs/operators-snapshot.md"
     )]
     OutOfBounds {
-        /// The field.
+        /// The path of the field.
         field: &'static str,
-        /// Its value.
+        /// The value in the file.
         value: String,
         /// The smallest allowed value.
         least: String,
         /// The largest allowed value.
         most: String,
     },
-    /// The name of the folder for snapshots is empty.
+    /// The path of the snapshot directory is empty.
     #[error("memory.folder: empty")]
     EmptyFolder,
 }
 
-/// The contents of the file.
+/// The settings in the operators' file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Snapshots of what the instance has learned; `None` disables them.
+    /// Settings for snapshots of the state of the policy; `None` disables snapshots.
     #[serde(rename = "memory")]
     pub snapshot: Option<SnapshotSettings>,
 }
@@ -60,30 +60,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotSettings {
-    /// The folder for them.
+    /// The directory in which snapshots are stored.
     pub folder: PathBuf,
-    /// Time between two snapshots.
+    /// Interval between two snapshots.
     #[serde(
         rename = "every",
         default = "default_write_interval",
         deserialize_with = "duration_with_unit"
     )]
     pub write_interval: Duration,
-    /// Time limit for the final snapshot at SIGTERM, after all requests are answered.
+    /// Time limit for writing the final snapshot after SIGTERM, once all requests are answered.
     #[serde(
         rename = "stop_within",
         default = "default_final_write_timeout",
         deserialize_with = "duration_with_unit"
     )]
     pub final_write_timeout: Duration,
-    /// Time of the event loop that collecting records may use in a second.
+    /// Time per second for which collecting records may block the event loop.
     #[serde(
         rename = "time_a_second",
         default = "default_loop_time_per_second",
         deserialize_with = "duration_with_unit"
     )]
     pub loop_time_per_second: Duration,
-    /// Bytes that may be written in a second.
+    /// Maximum number of bytes written to disk per second.
     #[serde(
         rename = "bytes_a_second",
         default = "default_bytes_per_second",
@@ -108,7 +108,7 @@
     ByteSize::mib(4)
 }
 
-/// Parses a duration with its unit, in whole microseconds.
+/// Deserializes a duration with a unit, in whole microseconds.
 fn duration_with_unit<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     let duration = humantime::parse_duration(&text).map_err(|error| {
@@ -119,7 +119,7 @@
     Ok(Duration::from_micros(whole_micros(duration)))
 }
 
-/// Parses a size with its unit.
+/// Deserializes a size with a unit.
 fn size_with_unit<'de, D: Deserializer<'de>>(deserializer: D) -> Result<ByteSize, D::Error> {
     let text = String::deserialize(deserializer)?;
     let invalid = |why: &str| {
@@ -133,20 +133,20 @@
     ByteSize::from_str(&text).map_err(|why| invalid(&why))
 }
 
-/// Reads an operators' file.
+/// Reads and parses an operators' file.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or those of [`parse`].
+/// The file cannot be read, or [`parse`] fails.
 pub fn read_file(path: &Path) -> Result<OperatorSettings, OperatorSettingsError> {
     parse(&std::fs::read_to_string(path)?)
 }
 
-/// Decodes the text of an operators' file.
+/// Parses and validates the text of an operators' file.
 ///
 /// # Errors
 ///
-/// It is invalid; the error names the line or the field.
+/// The text is invalid; the error names the line or the field.
 pub fn parse(text: &str) -> Result<OperatorSettings, OperatorSettingsError> {
     let operators: OperatorSettings =
         toml::from_str(text).map_err(|error| parse_error(text, &error))?;
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts to serve: reads the files, listens on the address and runs the event loop.
+//! Starts the proxy: reads the configuration files, creates the listener and runs the event loop.
 
 use std::ffi::OsString;
 use std::io;
@@ -12,42 +12,42 @@
 use crate::logging;
 use crate::operators::{self, OperatorSettings, OperatorSettingsError};
 
-/// Most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Why the proxy does not serve.
+/// Why the proxy did not start, or stopped with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The environment variable for the configuration is not set.
+    /// The environment variable with the path of the configuration file is not set.
     #[error("PROXY_CONFIG is not set")]
     NoConfiguration,
-    /// The configuration is invalid.
+    /// The configuration file cannot be read or is invalid.
     #[error("{}: {source}", path.display())]
     Configuration {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it cannot be used.
         source: ConfigError,
     },
-    /// The operators' file is invalid.
+    /// The operators' file cannot be read or is invalid.
     #[error("{}: {source}", path.display())]
     OperatorSettings {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it cannot be used.
         source: OperatorSettingsError,
     },
-    /// The event loop did not start, or failed.
+    /// The event loop failed to start or to run.
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
 }
 
 /// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`.
-/// Without an operators' file, all its features are disabled.
+/// Without an operators' file, the features that it configures are disabled.
 ///
 /// # Errors
 ///
-/// A file is invalid, the address cannot be listened on, or the event loop fails.
+/// A file cannot be read or is invalid, the listener cannot be created, or the event loop fails.
 pub fn serve(
     config_path: Option<OsString>,
     operators_path: Option<&Path>,
@@ -72,7 +72,8 @@
     Ok(())
 }
 
-/// Listens on the address, even if connections of an earlier process still use it.
+/// Creates the listener. `SO_REUSEADDR` lets a restarted process bind while connections of the
+/// previous one are still in use or in `TIME_WAIT`.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = Domain::for_address(address);
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
