--- a/crates/proxy/src/explain.rs
+++ b/crates/proxy/src/explain.rs
@@ -1,14 +1,16 @@
-//! The rollback verdicts in the log of a proxy, as a table for release engineers.
+//! Formats the rollback verdicts in the log of a proxy as a table for release engineers.
 //!
-//! Reads the lines of this release and those of earlier releases, which have other keys.
+//! Parses the log lines of this release and of earlier releases, which use a different message and
+//! different keys.
 
 use std::collections::BTreeMap;
 
 use comfy_table::{ContentArrangement, Table, presets};
 
-/// Stands for a value that a line does not have, for example because the line was cut off.
+/// Printed in place of a value that the line lacks, for example because the line was truncated.
 const UNKNOWN: &str = "?";
-/// Keeps the share of failures finite when there are no outcomes.
+/// Lower bound of the divisor of the failure percentage; avoids a division by zero if there are no
+/// outcomes.
 const MIN_OUTCOMES: f64 = 1e-9;
 const HEADER: [&str; 8] = [
     "time",
@@ -21,10 +23,10 @@
     "explanation",
 ];
 
-/// The message and the keys of the lines that one release logs for verdicts. All releases use the
-/// same keys for build, stage, test, score and bound.
+/// The message and the keys with which a release logs a verdict. All releases use the same keys for
+/// build, stage, test, score and bound, so these are not listed here.
 struct LineFormat {
-    /// The message, up to the first value.
+    /// The message and the separator before the first key.
     message: &'static str,
     candidate_failures: &'static str,
     candidate_outcomes: &'static str,
@@ -34,7 +36,7 @@
     ejected_endpoints: &'static str,
 }
 
-/// The lines of [`rollback_verdict`](crate::log_lines::rollback_verdict).
+/// The format of [`rollback_verdict`](crate::log_lines::rollback_verdict).
 const CURRENT_FORMAT: LineFormat = LineFormat {
     message: "rollback verdict, ",
     candidate_failures: "candidate_failures",
@@ -45,7 +47,7 @@
     ejected_endpoints: "ejected_endpoints",
 };
 
-/// The lines of earlier releases.
+/// The format of earlier releases.
 const EARLIER_FORMAT: LineFormat = LineFormat {
     message: "verdict: to go back, ",
     candidate_failures: "new_hits",
@@ -56,7 +58,7 @@
     ejected_endpoints: "aside",
 };
 
-/// A table of all verdicts in the log; `None` if there are none.
+/// Formats all verdicts in the log as a table; `None` if there are none.
 pub fn table(log: &str) -> Option<String> {
     let mut table = Table::new();
     table
@@ -70,7 +72,7 @@
     (!verdicts.is_empty()).then(|| table.to_string())
 }
 
-/// A line of the log with a verdict.
+/// A parsed log line that reports a verdict.
 struct VerdictLine<'a> {
     format: &'static LineFormat,
     logged_at: &'a str,
@@ -78,7 +80,7 @@
 }
 
 impl<'a> VerdictLine<'a> {
-    /// Parses a line; `None` if it has no verdict.
+    /// Parses a log line; `None` if it does not report a verdict.
     fn parse(line: &'a str) -> Option<VerdictLine<'a>> {
         [&CURRENT_FORMAT, &EARLIER_FORMAT]
             .into_iter()
@@ -142,7 +144,7 @@
     }
 }
 
-/// What a test compares, by its name in the log.
+/// Describes what a test compares. `test` is its name in the log.
 fn describe_test(test: &str) -> &'static str {
     match test {
         "failures" => {
@@ -152,7 +154,7 @@
             "responses slower than twice the baseline latency for that hardware class and load, against the baseline build"
         }
         "errors" => "errors alone, also against the time before the rollout",
-        // Earlier releases call it whole-fleet.
+        // Earlier releases log this test as `whole-fleet`.
         "fleet_slowdown" | "whole-fleet" => {
             "slow responses of the whole fleet, against the fleet before the rollout"
         }
--- a/crates/proxy/src/log_lines.rs
+++ b/crates/proxy/src/log_lines.rs
@@ -1,7 +1,8 @@
-//! All lines of the log from level info up: one function for each, with a short event phrase as
-//! message and standard keys. `docs/on-call.md` explains them to operators.
+//! All log lines from level info up, with one function for each line. The message is a short, fixed
+//! phrase that names the event; values are logged under keys. `docs/on-call.md` documents the lines
+//! for operators.
 //!
-//! The rate limit of the log counts the lines of each function apart.
+//! The rate limit of the log applies to each function separately.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -14,20 +15,20 @@
 use crate::context::Component;
 use crate::postgres::ErrorResponse;
 
-/// Characters of an endpoint's error message that are logged.
+/// Maximum number of characters of an endpoint's error message in the log.
 const MAX_MESSAGE_LENGTH: usize = 200;
 
-/// The proxy accepts clients.
+/// The proxy has started and accepts clients.
 pub fn serving(log: &Logger, listen: SocketAddr) {
     info!(log, "serving"; "listen" => %listen);
 }
 
-/// SIGTERM was received.
+/// SIGTERM was received, and shutdown begins.
 pub fn stopping(log: &Logger, open_requests: usize) {
     info!(log, "stopping"; "open_requests" => open_requests);
 }
 
-/// The proxy has drained and exits. The experiments read this key.
+/// Shutdown is complete, and the process exits. The experiments read the key `longest_turn_us`.
 pub fn stopped(log: &Logger, longest_iteration: Duration) {
     info!(log, "stopped"; "longest_turn_us" => longest_iteration.as_micros() as u64);
 }
@@ -42,17 +43,17 @@
     error!(log, "handler panicked"; "component" => ?component);
 }
 
-/// Closing a connection after a panic panicked too.
+/// Closing a connection after a panic of its handler panicked too.
 pub fn cleanup_panicked(log: &Logger, component: Component) {
     error!(log, "cleanup panicked"; "component" => ?component);
 }
 
-/// Which addresses a new configuration has changed.
+/// The addresses that differ between the previous and the new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressChanges {
-    /// That of discovery.
+    /// Whether the address of discovery has changed.
     pub discovery: bool,
-    /// That of the platform.
+    /// Whether the address of the platform has changed.
     pub platform: bool,
 }
 
@@ -67,7 +68,8 @@
     warn!(log, "configuration rejected"; "error" => error.to_string().replace('\n', " "));
 }
 
-/// This instance has found that a build must be rolled back. `tidescale explain` reads this line.
+/// This instance has decided that a build must be rolled back. `tidescale explain` parses this
+/// line.
 pub fn rollback_verdict(log: &Logger, verdict: &RollbackVerdict) {
     let round = |value: f64| format!("{value:.2}");
     info!(log, "rollback verdict";
@@ -102,7 +104,7 @@
         "build" => ballot.build.get(), "stage" => ballot.stage.get(), "vote" => ?ballot.vote);
 }
 
-/// A vote was neither accepted nor superseded.
+/// The platform has neither accepted nor superseded a vote.
 pub fn vote_not_counted(log: &Logger, result: VoteResult) {
     info!(log, "vote not counted"; "result" => ?result);
 }
@@ -117,24 +119,24 @@
     info!(log, "platform connection failed"; "error" => %error);
 }
 
-/// A control stream ended; it is opened again after a backoff.
+/// The stream from discovery or the platform ended; the proxy reconnects after the backoff.
 pub fn stream_ended(log: &Logger, component: Component, error: &dyn Display, backoff: Duration) {
     info!(log, "stream ended"; "component" => ?component,
         "error" => %error, "reconnect_ms" => backoff.as_millis());
 }
 
-/// A stream delivered an endpoint list that is older than the current one.
+/// Discovery sent an endpoint list that is older than the current one.
 pub fn stale_endpoint_list_ignored(log: &Logger, version: u64, current_version: u64) {
     info!(log, "stale endpoint list ignored";
         "version" => version, "current_version" => current_version);
 }
 
-/// A connection to an endpoint could not even be started.
+/// A connection attempt to an endpoint failed immediately.
 pub fn endpoint_connection_failed(log: &Logger, endpoint: &str, error: &dyn Display) {
     info!(log, "endpoint connection failed"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// All descriptors for connections to endpoints are in use; the attempt or health check is not
+/// All file descriptors for connections to endpoints are in use; the attempt or health check is not
 /// sent.
 pub fn endpoint_connection_limit_reached(log: &Logger, endpoint: &str) {
     info!(log, "endpoint connection limit reached"; "endpoint" => endpoint);
@@ -150,7 +152,7 @@
     info!(log, "invalid endpoint message"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// An endpoint answered with an SQLSTATE that endpoints are not known to use.
+/// An endpoint responded with an SQLSTATE that the proxy does not know.
 pub fn unknown_endpoint_error(log: &Logger, endpoint: &str, error: &ErrorResponse) {
     let message: String = error.message.chars().take(MAX_MESSAGE_LENGTH).collect();
     info!(log, "unknown endpoint error";
@@ -162,12 +164,12 @@
     info!(log, "invalid load report"; "endpoint" => endpoint);
 }
 
-/// The system did not accept a connection of a client.
+/// The operating system failed to accept a connection of a client.
 pub fn accept_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "accept failed"; "error" => %error);
 }
 
-/// An accepted connection of a client could not be registered.
+/// An accepted connection of a client could not be registered for events.
 pub fn client_registration_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "client registration failed"; "error" => %error);
 }
@@ -182,18 +184,18 @@
     info!(log, "client message timed out");
 }
 
-/// The buffers for clients are used up; the oldest incomplete message is refused and its connection
-/// closed.
+/// The buffers for clients are exhausted; the oldest incomplete message is rejected and its
+/// connection is closed.
 pub fn client_buffers_exhausted(log: &Logger) {
     info!(log, "client buffers exhausted");
 }
 
-/// A client sent a statement that cannot be served; it is sent an error.
+/// A client sent a statement that the proxy does not support; it is sent an error.
 pub fn statement_rejected(log: &Logger, error: &dyn Display) {
     info!(log, "statement rejected"; "error" => %error);
 }
 
-/// The instance serves without snapshots.
+/// Snapshots cannot be used; the instance serves without them.
 pub fn snapshots_disabled(log: &Logger, folder: &Path, error: &dyn Display) {
     warn!(log, "snapshots disabled"; "folder" => %folder.display(), "error" => %error);
 }
@@ -203,34 +205,34 @@
     warn!(log, "snapshot file quarantined"; "file" => %file);
 }
 
-/// How much of a snapshot was restored.
+/// How many records of a snapshot were restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestoredSnapshot {
-    /// Records in the file.
+    /// The number of records in the file.
     pub records: usize,
-    /// Records that still counted.
+    /// The number of restored records; the others have expired or no longer apply.
     pub restored: usize,
-    /// Age of the file.
+    /// The age of the snapshot.
     pub age: Duration,
 }
 
-/// A snapshot was read at the start.
+/// A snapshot was restored on startup.
 pub fn snapshot_restored(log: &Logger, snapshot: RestoredSnapshot) {
     info!(log, "snapshot restored"; "records" => snapshot.records,
         "restored" => snapshot.restored, "age_s" => snapshot.age.as_secs());
 }
 
-/// A snapshot was not written; the previous one stays.
+/// A snapshot was not written; the previous one is kept.
 pub fn snapshot_write_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "snapshot write failed"; "error" => %error);
 }
 
-/// The snapshot at shutdown is on disk. The experiments read this key.
+/// The final snapshot at shutdown is on disk. The experiments read the key `longest_slice_us`.
 pub fn final_snapshot_written(log: &Logger, longest_slice: Duration) {
     info!(log, "final snapshot written"; "longest_slice_us" => longest_slice.as_micros() as u64);
 }
 
-/// The snapshot at shutdown was not written within the configured time.
+/// The final snapshot at shutdown was not written within the configured time.
 pub fn final_snapshot_timed_out(log: &Logger) {
     warn!(log, "final snapshot timed out");
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,6 +1,6 @@
-//! The log on standard error. Each place in the source may log only a few lines a second, so that
-//! repeated errors neither fill the log nor slow down the event loop. A line that standard error
-//! does not accept immediately is dropped and counted.
+//! The logger, which writes to standard error. A rate limit of a few lines per second for each call
+//! site keeps repeated errors from filling the log and from slowing down the event loop. A line
+//! that cannot be written without blocking is dropped and counted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,15 +11,15 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
-/// Length of the windows over which the lines of a place are counted.
+/// Length of the windows in which the lines of a call site are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Most lines of a place written in one window.
+/// Maximum number of lines that a call site may write in one window.
 const MAX_LINES_PER_WINDOW: u32 = 5;
 
-/// The place in the source that logs a line.
+/// The call site of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLine {
-    /// The file.
+    /// The source file.
     pub file: &'static str,
     /// The line number.
     pub line: u32,
@@ -30,15 +30,16 @@
     lines: u32,
 }
 
-/// Counts lines by place; its size is bounded by the number of places that log.
+/// Limits the lines of each call site. The number of call sites in the program bounds its size.
 #[derive(Default)]
 pub struct RateLimiter {
     windows: BTreeMap<SourceLine, Window>,
 }
 
 impl RateLimiter {
-    /// Whether a line may be written now. Returns the number of suppressed lines of that place in
-    /// the previous window, or `None` if this line is suppressed.
+    /// Counts a line of a call site. Returns `None` if the line exceeds the limit and must be
+    /// suppressed. Otherwise returns, for the first line of a new window, the number of lines
+    /// suppressed in the previous one, and 0 for all other lines.
     pub fn admit(&mut self, source: SourceLine, now: Instant) -> Option<u32> {
         let window = self.windows.entry(source).or_insert(Window {
             started: now,
@@ -55,10 +56,10 @@
     }
 }
 
-/// A drain that suppresses lines over the rate limit and lines that standard error does not accept.
+/// A drain that drops lines over the rate limit and lines that would block on standard error.
 struct RateLimitedDrain<D> {
     limiter: Mutex<RateLimiter>,
-    /// Lines that standard error did not accept since it last accepted one.
+    /// Lines dropped since the last write because standard error was not writable.
     dropped: AtomicU32,
     drain: D,
 }
@@ -85,7 +86,7 @@
             return Ok(());
         }
         let suppressed_lines = suppressed + self.dropped.swap(0, Ordering::Relaxed);
-        // A failure to log must not end the service.
+        // Write errors are ignored: the proxy keeps serving if it cannot log.
         let _ = if suppressed_lines == 0 {
             self.drain.log(record, values)
         } else {
@@ -96,16 +97,16 @@
     }
 }
 
-/// Whether a line can be written without blocking: a pipe that nobody reads would stall the whole
-/// proxy.
+/// Whether a line can be written without blocking. A blocking write to a full pipe that nobody
+/// reads would stall the event loop.
 fn stderr_is_writable() -> bool {
     let stderr = io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
-    // A pipe that is ready accepts a page, which is more than a line.
+    // A writable pipe has room for at least a page, which is more than a line.
     poll(&mut descriptors, Some(&Timespec::default())).map_or(true, |ready| ready > 0)
 }
 
-/// A logger that writes lines from level info up to standard error.
+/// Creates a logger that writes lines from level info up to standard error.
 pub fn stderr_logger() -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
     let limited = RateLimitedDrain {
