--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -1,16 +1,15 @@
-//! Writes snapshots of what the policy has learned. Records are collected in slices between
-//! iterations of the event loop. A separate thread encodes and writes them, because a disk may
-//! stall.
+//! Writes snapshots of the state of the policy. Records are collected in slices between iterations
+//! of the event loop. A separate thread encodes and writes them, because disk I/O may block.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `collector` | collects the policy's records, some in each slice |
-//! | `background` | the thread that writes |
-//! | `restore` | restores the records of a snapshot that still count |
-//! | `directory` | what the proxy knows of endpoints besides the policy |
+//! | `collector` | collects the policy's records, a bounded number in each slice |
+//! | `background` | the thread that encodes and writes snapshots |
+//! | `restore` | restores the valid records of a snapshot |
+//! | `listed_processes` | the endpoint list and the processes in it |
 //!
-//! Invariants: the event loop never waits for the disk, except for the final snapshot and then no
-//! longer than configured; at most one snapshot waits for the thread.
+//! Invariants: the event loop never waits for the disk, except for the final snapshot, and then at
+//! most for the configured time; at most one snapshot is queued for the thread.
 
 mod background;
 mod collector;
@@ -37,15 +36,16 @@
 pub use listed_processes::ListedProcesses;
 pub use restore::restore;
 
-/// Priority of writing snapshots among the jobs of the scheduler, of which it is the only one.
+/// Priority of the snapshot job, which is the only job of the scheduler.
 const PRIORITY: u8 = 1;
 
-/// The result of the last write that was waited for.
+/// The outcome of the last of the writes that
+/// [`wait_for_last_result`](SnapshotWriter::wait_for_last_result) has waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteStatus {
     /// The snapshot is on disk.
     Written,
-    /// It failed, or there was none.
+    /// The write failed, or there was none.
     NotWritten,
 }
 
@@ -55,17 +55,17 @@
     job: JobId,
     collector: RecordCollector,
     background: BackgroundWriter,
-    /// How long shutdown may wait for the final snapshot.
+    /// Maximum time that shutdown waits for the final snapshot.
     final_write_timeout: Duration,
-    /// Duration of the longest slice, which blocks the event loop.
+    /// Duration of the longest slice; the event loop is blocked during a slice.
     longest_slice: Duration,
     log: Logger,
 }
 
 impl SnapshotWriter {
     /// Locks the directory and starts the thread. Returns the writer and the newest complete
-    /// snapshot. Returns `None` if the directory cannot be used: that is logged, and the instance
-    /// serves without snapshots.
+    /// snapshot. If the directory cannot be locked or the thread cannot be started, logs the error
+    /// and returns `None`; the instance then serves without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
@@ -108,7 +108,8 @@
         Some((writer, opened.snapshot))
     }
 
-    /// Does one slice of work if the scheduler allows it now.
+    /// Handles the results of finished writes. Then collects one slice of records if the scheduler
+    /// allows it now, and submits the snapshot to the thread once all are collected.
     pub fn run_slice(
         &mut self,
         listed_processes: &ListedProcesses<'_>,
@@ -131,13 +132,13 @@
         self.scheduler.record_time(duration, now);
     }
 
-    /// When [`run_slice`](SnapshotWriter::run_slice) has work to do again.
+    /// The time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.scheduler.next_wake_up(now)
     }
 
-    /// Writes the final snapshot, after all clients have their responses. Waits no longer than
-    /// configured.
+    /// Writes the final snapshot at shutdown, after all clients have received their responses.
+    /// Waits at most for the configured time.
     pub fn write_final(
         &mut self,
         listed_processes: &ListedProcesses<'_>,
@@ -146,13 +147,13 @@
     ) {
         let deadline = Instant::now() + self.final_write_timeout;
         let records = self.collector.collect_all(listed_processes, now, policy);
-        // The thread refuses the final snapshot while another one waits.
+        // Submitting fails while another snapshot is queued, so wait for the earlier writes first.
         if self.wait_for_last_result(deadline, now).is_some() {
             self.submit(records, now);
         }
         match self.wait_for_last_result(deadline, now) {
             None => log_lines::final_snapshot_timed_out(&self.log),
-            // The failure has been logged.
+            // `record_result` or `submit` has logged the error.
             Some(WriteStatus::NotWritten) => {}
             Some(WriteStatus::Written) => {
                 log_lines::final_snapshot_written(&self.log, self.longest_slice);
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Waits until the thread has nothing left to write. Returns whether the last of these writes
-    /// succeeded, or `None` if the thread has not finished by the deadline.
+    /// Waits until the thread has finished all pending writes. Returns whether the last of them
+    /// succeeded, or `None` if the deadline expires first or the thread has ended.
     fn wait_for_last_result(&mut self, deadline: Instant, now: Timestamp) -> Option<WriteStatus> {
         let mut status = WriteStatus::NotWritten;
         while self.background.has_pending() {
@@ -176,8 +177,8 @@
         Some(status)
     }
 
-    /// Passes a snapshot to the thread, or drops it if another one still waits, so that snapshots
-    /// do not pile up in memory while the disk stalls.
+    /// Submits a snapshot to the thread. If another one is still queued, the new one is dropped, so
+    /// that snapshots do not accumulate in memory while the disk is slow.
     fn submit(&mut self, records: Vec<Record>, now: Timestamp) {
         let write = PendingWrite {
             written_at: now,
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -1,4 +1,4 @@
-//! The thread that encodes and writes snapshots. It owns the store.
+//! The background thread that encodes snapshots and writes them to disk. It owns the store.
 
 use std::io;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -11,13 +11,14 @@
 use tidescale_snapshot::records::Record;
 use tidescale_snapshot::store::{SaveError, Store};
 
-/// Most snapshots waiting for the thread. One is enough, because each snapshot is complete.
+/// Capacity of the queue of snapshots for the thread. One is enough, because each snapshot is
+/// complete.
 const MAX_WAITING: usize = 1;
-/// Most results waiting for the event loop: one for the snapshot being written and one for the
-/// waiting one, so that the thread never waits for the event loop.
+/// Capacity of the queue of results for the event loop: one for the snapshot being written and one
+/// for the queued one, so that the thread never waits for the event loop.
 const MAX_RESULTS: usize = 2;
 
-/// A snapshot for the thread to write.
+/// The contents of a snapshot that is to be written.
 pub(super) struct PendingWrite {
     pub(super) written_at: Timestamp,
     pub(super) records: Vec<Record>,
@@ -26,22 +27,22 @@
 /// Number of bytes written, or why the write failed.
 pub(super) type WriteResult = Result<usize, SaveError>;
 
-/// Why a snapshot was not passed to the thread.
+/// Why a snapshot was not queued for the thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum SubmitError {
-    /// Another one waits for the thread.
-    #[error("the disk is slow")]
+    /// The queue is full, because the disk is slow.
+    #[error("an earlier snapshot is still waiting to be written")]
     Busy,
     /// The thread has ended.
-    #[error("no thread")]
+    #[error("the snapshot thread has ended")]
     Stopped,
 }
 
-/// The event loop's handle of the thread.
+/// The handle through which the event loop submits snapshots and receives results.
 pub(super) struct BackgroundWriter {
     writes: SyncSender<PendingWrite>,
     results: Receiver<WriteResult>,
-    /// Number of writes without a result.
+    /// Number of submitted writes whose result has not been received.
     pending: usize,
 }
 
@@ -68,12 +69,12 @@
         })
     }
 
-    /// Whether a write has no result yet.
+    /// Whether the result of a submitted write has not been received yet.
     pub(super) fn has_pending(&self) -> bool {
         self.pending > 0
     }
 
-    /// Passes a snapshot to the thread without waiting.
+    /// Queues a snapshot for the thread without blocking.
     pub(super) fn submit(&mut self, write: PendingWrite) -> Result<(), SubmitError> {
         match self.writes.try_send(write) {
             Ok(()) => {
@@ -85,14 +86,14 @@
         }
     }
 
-    /// The next result, if it is available.
+    /// Receives the next result without blocking; `None` if none is available.
     pub(super) fn try_result(&mut self) -> Option<WriteResult> {
         let result = self.results.try_recv().ok()?;
         self.pending -= 1;
         Some(result)
     }
 
-    /// Waits for the next result; `None` after the timeout.
+    /// Waits for the next result; `None` if the timeout expires or the thread has ended.
     pub(super) fn wait_for_result(&mut self, timeout: Duration) -> Option<WriteResult> {
         let result = self.results.recv_timeout(timeout).ok()?;
         self.pending -= 1;
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -11,15 +11,16 @@
 
 use super::listed_processes::ListedProcesses;
 
-/// Endpoints, or outcomes of endpoints, in a slice; they take a few tens of microseconds.
+/// Maximum number of endpoints or outcomes collected in a slice, which takes a few tens of
+/// microseconds.
 const SLICE_LENGTH: usize = 64;
 
-/// The position at which collecting continues.
+/// The position at which the next slice continues.
 #[derive(Clone, Copy)]
 enum Cursor {
-    /// The endpoint with this index.
+    /// Endpoints, from this index on.
     Endpoints(EndpointIndex),
-    /// The outcomes with this key.
+    /// Outcomes, from this key on.
     Outcomes(OutcomeKey),
     /// All other records.
     Remaining,
@@ -33,7 +34,7 @@
     });
 }
 
-/// The records of a snapshot that were collected so far.
+/// Collects the records of a snapshot over several slices.
 pub(super) struct RecordCollector {
     records: Vec<Record>,
     cursor: Cursor,
@@ -49,8 +50,8 @@
 }
 
 impl RecordCollector {
-    /// Collects some endpoints or outcomes, or all other records. Returns the records of the
-    /// snapshot once they are complete.
+    /// Collects a bounded number of endpoints or outcomes, or all other records. Returns all
+    /// records of the snapshot after its last slice.
     pub(super) fn collect_slice(
         &mut self,
         listed_processes: &ListedProcesses<'_>,
@@ -76,15 +77,15 @@
             Cursor::Remaining => {
                 policy.save_remaining_records(&mut sink);
                 self.cursor = Cursor::START;
-                // The file is cut at its maximum length: the records collected last are the most
-                // important ones.
+                // Encoding drops the records that exceed the maximum file size from the end. The
+                // records collected last are the most important ones, so they go first.
                 self.records.reverse();
                 Some(std::mem::take(&mut self.records))
             }
         }
     }
 
-    /// Collects all records from the start, in one go.
+    /// Discards the records collected so far, and collects all records at once.
     pub(super) fn collect_all(
         &mut self,
         listed_processes: &ListedProcesses<'_>,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Receives the records of the policy and converts them to stored records.
+/// Receives the records of the policy and converts them to the records of the snapshot format.
 struct RecordSink<'a> {
     now: Timestamp,
     listed_processes: &'a ListedProcesses<'a>,
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,4 +1,5 @@
-//! Restores the records of a snapshot that still count.
+//! Restores the valid records of a snapshot: those that have not expired and that describe no
+//! other process or rollout than the current one.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{HardwareClassRecord, OutcomeRecord, RouteRecord};
@@ -9,10 +10,10 @@
 
 use super::listed_processes::ListedProcesses;
 
-/// Restores the records of the snapshot that still count to the policy, and returns their number.
+/// Restores the valid records of the snapshot into the policy, and returns their number.
 ///
-/// Records are checked against the endpoint list and the rollout status, which the policy must know
-/// already.
+/// The endpoint list and the rollout status decide which records are valid, so the policy must have
+/// received both before.
 pub fn restore(
     snapshot: &Snapshot,
     listed_processes: &ListedProcesses<'_>,
@@ -32,7 +33,7 @@
     restored_count
 }
 
-/// Whether the build that was under evaluation when the snapshot was written still is.
+/// Whether the build that was in the canary phase when the snapshot was written still is.
 fn rollout_continues(snapshot: &Snapshot, policy: &Balancer) -> bool {
     let Some(current) = policy.rollout() else {
         return false;
@@ -52,7 +53,7 @@
 }
 
 impl Restorer<'_> {
-    /// Restores one record if it still counts. Returns whether it does.
+    /// Restores a record if it is valid. Returns whether it was restored.
     fn restore(&mut self, record: &Record) -> bool {
         let unexpired = expiry::weight(record, self.now) > 0.0;
         match record {
@@ -71,9 +72,9 @@
                 self.policy.restore_key_build(&record.key, record.build);
                 true
             }
-            // These are stored for starts without discovery.
+            // Stored for starts without discovery; not restored here.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
-            // These have expired.
+            // Expired, because the guards above did not match.
             Record::HardwareClass(_) | Record::RejectedBuild(_) | Record::KeyBuild(_) => false,
         }
     }
@@ -133,7 +134,7 @@
         true
     }
 
-    /// The baseline is restored only for the rollout before which it was taken.
+    /// Restores the baseline only if the rollout before which it was taken still continues.
     fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord) -> bool {
         if !self.rollout_continues {
             return false;
@@ -145,7 +146,7 @@
         true
     }
 
-    /// Whether the endpoint with this name is still the recorded process.
+    /// Compares the recorded process with the one now listed under the same endpoint name.
     fn match_process(&self, recorded: &Process) -> ProcessMatch {
         let listed = self.listed_processes.process(&recorded.endpoint);
         ProcessMatch::compare(recorded, listed.as_ref())
