--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -9,20 +9,21 @@
 use tidescale_policy::types::{BuildNumber, EndpointIndex, EndpointState, Timestamp};
 use tidescale_snapshot::records::{self, ListedState, Record, ReportedLoad};
 
-use super::directory::EndpointDirectory;
+use super::listed_processes::ListedProcesses;
 
-/// Endpoints, or outcomes of endpoints, in a slice; they take a few tens of microseconds.
+/// Maximum number of endpoints or outcomes collected in a slice, which takes a few tens of
+/// microseconds.
 const SLICE_LENGTH: usize = 64;
 
-/// The position at which collecting continues.
+/// The position at which the next slice continues.
 #[derive(Clone, Copy)]
 enum Cursor {
-    /// The endpoint with this index.
+    /// Endpoints, from this index on.
     Endpoints(EndpointIndex),
-    /// The outcomes with this key.
+    /// Outcomes, from this key on.
     Outcomes(OutcomeKey),
     /// All other records.
-    Rest,
+    Remaining,
 }
 
 impl Cursor {
@@ -33,33 +34,33 @@
     });
 }
 
-/// The records of a snapshot that were collected so far.
-pub(super) struct Collection {
+/// Collects the records of a snapshot over several slices.
+pub(super) struct RecordCollector {
     records: Vec<Record>,
     cursor: Cursor,
 }
 
-impl Default for Collection {
-    fn default() -> Collection {
-        Collection {
+impl Default for RecordCollector {
+    fn default() -> RecordCollector {
+        RecordCollector {
             records: Vec::new(),
             cursor: Cursor::START,
         }
     }
 }
 
-impl Collection {
-    /// Collects some endpoints or outcomes, or all other records. Returns the records of the
-    /// snapshot once they are complete.
+impl RecordCollector {
+    /// Collects a bounded number of endpoints or outcomes, or all other records. Returns all
+    /// records of the snapshot after its last slice.
     pub(super) fn collect_slice(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) -> Option<Vec<Record>> {
-        let mut sink = Collector {
+        let mut sink = RecordSink {
             now,
-            directory,
+            listed_processes,
             records: &mut self.records,
         };
         match self.cursor {
@@ -70,51 +71,51 @@
             }
             Cursor::Outcomes(position) => {
                 let next = policy.save_outcomes(position, SLICE_LENGTH, &mut sink);
-                self.cursor = next.map_or(Cursor::Rest, Cursor::Outcomes);
+                self.cursor = next.map_or(Cursor::Remaining, Cursor::Outcomes);
                 None
             }
-            Cursor::Rest => {
+            Cursor::Remaining => {
                 policy.save_remaining_records(&mut sink);
                 self.cursor = Cursor::START;
-                // The file is cut at its maximum length: the records collected last are the most
-                // important ones.
+                // Encoding drops the records that exceed the maximum file size from the end. The
+                // records collected last are the most important ones, so they go first.
                 self.records.reverse();
                 Some(std::mem::take(&mut self.records))
             }
         }
     }
 
-    /// Collects all records from the start, in one go.
+    /// Discards the records collected so far, and collects all records at once.
     pub(super) fn collect_all(
         &mut self,
-        directory: &EndpointDirectory<'_>,
+        listed_processes: &ListedProcesses<'_>,
         now: Timestamp,
         policy: &mut Balancer,
     ) -> Vec<Record> {
-        *self = Collection::default();
+        *self = RecordCollector::default();
         loop {
-            if let Some(records) = self.collect_slice(directory, now, policy) {
+            if let Some(records) = self.collect_slice(listed_processes, now, policy) {
                 return records;
             }
         }
     }
 }
 
-/// Receives the records of the policy and converts them to stored records.
-struct Collector<'a> {
+/// Receives the records of the policy and converts them to the records of the snapshot format.
+struct RecordSink<'a> {
     now: Timestamp,
-    directory: &'a EndpointDirectory<'a>,
+    listed_processes: &'a ListedProcesses<'a>,
     records: &'a mut Vec<Record>,
 }
 
-impl SnapshotSink for Collector<'_> {
+impl SnapshotSink for RecordSink<'_> {
     fn endpoint(&mut self, record: EndpointRecord<'_>) {
-        let Some(process) = self.directory.process(record.name) else {
+        let Some(process) = self.listed_processes.process(record.name) else {
             return;
         };
         let listed = records::ListedEndpointRecord {
-            observed_at: self.directory.list_confirmed_at,
-            list_version: self.directory.list_version,
+            observed_at: self.listed_processes.list_confirmed_at,
+            list_version: self.listed_processes.list_version,
             process: process.clone(),
             zone: record.zone.into(),
             hardware_class: record.hardware_class.into(),
@@ -161,7 +162,7 @@
     }
 
     fn outcomes(&mut self, record: OutcomeRecord<'_>) {
-        let Some(process) = self.directory.process(record.endpoint) else {
+        let Some(process) = self.listed_processes.process(record.endpoint) else {
             return;
         };
         let stored = records::OutcomeRecord {
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,4 +1,5 @@
-//! Restores the records of a snapshot that still count.
+//! Restores the valid records of a snapshot: those that have not expired and that describe no
+//! other process or rollout than the current one.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{HardwareClassRecord, OutcomeRecord, RouteRecord};
@@ -7,32 +8,32 @@
 use tidescale_snapshot::format::Snapshot;
 use tidescale_snapshot::records::{self, Process, Record, RolloutPhase};
 
-use super::directory::EndpointDirectory;
+use super::listed_processes::ListedProcesses;
 
-/// Restores the records of the snapshot that still count to the policy, and returns their number.
+/// Restores the valid records of the snapshot into the policy, and returns their number.
 ///
-/// Records are checked against the endpoint list and the rollout status, which the policy must know
-/// already.
+/// The endpoint list and the rollout status decide which records are valid, so the policy must have
+/// received both before.
 pub fn restore(
     snapshot: &Snapshot,
-    directory: &EndpointDirectory<'_>,
+    listed_processes: &ListedProcesses<'_>,
     now: Timestamp,
     policy: &mut Balancer,
 ) -> usize {
     let mut restorer = Restorer {
-        directory,
+        listed_processes,
         now,
         rollout_continues: rollout_continues(snapshot, policy),
         policy,
     };
-    let mut counted = 0;
+    let mut restored_count = 0;
     for record in &snapshot.records {
-        counted += usize::from(restorer.restore(record));
+        restored_count += usize::from(restorer.restore(record));
     }
-    counted
+    restored_count
 }
 
-/// Whether the build that was under evaluation when the snapshot was written still is.
+/// Whether the build that was in the canary phase when the snapshot was written still is.
 fn rollout_continues(snapshot: &Snapshot, policy: &Balancer) -> bool {
     let Some(current) = policy.rollout() else {
         return false;
@@ -45,35 +46,35 @@
 }
 
 struct Restorer<'a> {
-    directory: &'a EndpointDirectory<'a>,
+    listed_processes: &'a ListedProcesses<'a>,
     now: Timestamp,
     rollout_continues: bool,
     policy: &'a mut Balancer,
 }
 
 impl Restorer<'_> {
-    /// Restores one record if it still counts. Returns whether it does.
+    /// Restores a record if it is valid. Returns whether it was restored.
     fn restore(&mut self, record: &Record) -> bool {
-        let counts = expiry::weight(record, self.now) > 0.0;
+        let unexpired = expiry::weight(record, self.now) > 0.0;
         match record {
             Record::Endpoint(record) => self.restore_endpoint(record),
             Record::Outcomes(record) => self.restore_outcomes(record),
             Record::Route(record) => self.restore_route(record),
             Record::Zones(record) => self.restore_zones(record),
             Record::FleetBaseline(record) => self.restore_fleet_baseline(record),
-            Record::HardwareClass(record) if counts => self.restore_hardware_class(record),
-            Record::RejectedBuild(record) if counts => {
+            Record::HardwareClass(record) if unexpired => self.restore_hardware_class(record),
+            Record::RejectedBuild(record) if unexpired => {
                 self.policy
                     .restore_rejected_build(record.build, record.observed_at);
                 true
             }
-            Record::KeyBuild(record) if counts => {
+            Record::KeyBuild(record) if unexpired => {
                 self.policy.restore_key_build(&record.key, record.build);
                 true
             }
-            // These are stored for starts without discovery.
+            // Stored for starts without discovery; not restored here.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
-            // These have expired.
+            // Expired, because the guards above did not match.
             Record::HardwareClass(_) | Record::RejectedBuild(_) | Record::KeyBuild(_) => false,
         }
     }
@@ -133,7 +134,7 @@
         true
     }
 
-    /// The baseline is restored only for the rollout before which it was taken.
+    /// Restores the baseline only if the rollout before which it was taken still continues.
     fn restore_fleet_baseline(&mut self, record: &records::FleetBaselineRecord) -> bool {
         if !self.rollout_continues {
             return false;
@@ -145,9 +146,9 @@
         true
     }
 
-    /// Whether the endpoint with this name is still the recorded process.
+    /// Compares the recorded process with the one now listed under the same endpoint name.
     fn match_process(&self, recorded: &Process) -> ProcessMatch {
-        let listed = self.directory.process(&recorded.endpoint);
+        let listed = self.listed_processes.process(&recorded.endpoint);
         ProcessMatch::compare(recorded, listed.as_ref())
     }
 }
