--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -13,7 +13,7 @@
 //! | `responses` | sending responses |
 //! | `lifecycle` | time limits, idle connections, closing |
 //!
-//! Invariants: each connection in the table has a placement in the index of stages; the request
+//! Invariants: each connection in the table has a entry in the index of stages; the request
 //! that a connection waits for is pending and refers back to that connection; a response is written
 //! as a whole, followed by ReadyForQuery.
 
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -6,7 +6,7 @@
 use slog::debug;
 
 use super::connection::ClientConnection;
-use super::stages::{Placement, Stage};
+use super::stages::{Stage, StageEntry};
 use super::{Clients, MIN_STAGE_AGE};
 use crate::connection::Connection;
 use crate::context::{Component, EventContext, IoContext, Owner};
@@ -87,7 +87,7 @@
 
     /// Closes the first connection in the order of eviction. Returns whether there was one.
     fn make_room(&mut self, context: &mut EventContext<'_>) -> bool {
-        let Some(Placement {
+        let Some(StageEntry {
             stage, connection, ..
         }) = self.first_to_evict(context.io)
         else {
@@ -109,13 +109,13 @@
         true
     }
 
-    fn first_to_evict(&self, context: &IoContext) -> Option<Placement> {
+    fn first_to_evict(&self, context: &IoContext) -> Option<StageEntry> {
         let latest = context.now - MIN_STAGE_AGE;
         // A connection that has received bytes since it was last served is served before it may be
         // closed.
-        let has_sent_nothing = |placement: &Placement| {
+        let has_sent_nothing = |entry: &StageEntry| {
             self.connections
-                .get(placement.connection)
+                .get(entry.connection)
                 .is_some_and(|client| client.is_closing() || client.connection.is_silent())
         };
         self.stages.eviction_order(latest).find(has_sent_nothing)
--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -7,10 +7,10 @@
 
 /// Most arrival times kept for one connection. More are needed only if a client sends a few bytes
 /// at a time.
-const MAX_MARKS: usize = 256;
+const MAX_ARRIVALS: usize = 256;
 
 /// Bytes received until one time.
-struct Mark {
+struct Arrival {
     /// All bytes received by then, since the start of the connection.
     received: u64,
     at: Timestamp,
@@ -18,13 +18,14 @@
 
 /// Arrival times of the bytes that were received and not yet used.
 ///
-/// Marks are in the order of both bytes and time. Bytes received after the last possible mark count
-/// as received at that mark, so that the time of a request may start too early but never too late.
+/// Arrivals are in the order of both bytes and time. Once [`MAX_ARRIVALS`] are kept, further bytes
+/// count as received with the last of them, so that the time of a request may start too early but
+/// never too late.
 #[derive(Default)]
 pub struct Arrivals {
-    marks: VecDeque<Mark>,
+    arrivals: VecDeque<Arrival>,
     received: u64,
-    used: u64,
+    consumed: u64,
 }
 
 impl Arrivals {
@@ -34,10 +35,10 @@
             return;
         }
         self.received += count as u64;
-        let is_full = self.marks.len() >= MAX_MARKS;
-        match self.marks.back_mut() {
+        let is_full = self.arrivals.len() >= MAX_ARRIVALS;
+        match self.arrivals.back_mut() {
             Some(last) if is_full || last.at == now => last.received = self.received,
-            _ => self.marks.push_back(Mark {
+            _ => self.arrivals.push_back(Arrival {
                 received: self.received,
                 at: now,
             }),
@@ -46,15 +47,15 @@
 
     /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is
     /// unknown.
-    pub fn take(&mut self, count: usize, now: Timestamp) -> Timestamp {
-        self.used += count as u64;
+    pub fn consume(&mut self, count: usize, now: Timestamp) -> Timestamp {
+        self.consumed += count as u64;
         while self
-            .marks
+            .arrivals
             .front()
-            .is_some_and(|mark| mark.received < self.used)
+            .is_some_and(|arrival| arrival.received < self.consumed)
         {
-            self.marks.pop_front();
+            self.arrivals.pop_front();
         }
-        self.marks.front().map_or(now, |mark| mark.at)
+        self.arrivals.front().map_or(now, |arrival| arrival.at)
     }
 }
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -6,7 +6,7 @@
 use super::stages::Stage;
 use crate::buffers::{Pool, SIZE};
 use crate::connection::Connection;
-use crate::postgres::{self, ClientMessage, Severity, frame_head, whole_frame};
+use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
 /// Bytes read ahead while a request is pending. Also the most bytes of responses that may wait for
 /// a client that sends requests without reading.
@@ -125,7 +125,7 @@
 
     /// There may be another message to handle.
     pub(super) fn may_have_message(&self) -> bool {
-        let next = || whole_frame::<ClientMessage>(&self.connection.input);
+        let next = || complete_frame::<ClientMessage>(&self.connection.input);
         self.connection.has_more() || self.is_open() && next() != Ok(None)
     }
 
@@ -140,7 +140,7 @@
         if !self.is_open() || !self.takes_messages() {
             return read_ahead;
         }
-        match frame_head::<ClientMessage>(&self.connection.input) {
+        match frame_header::<ClientMessage>(&self.connection.input) {
             Ok(Some(frame)) => frame.length.max(read_ahead),
             Ok(None) | Err(_) => read_ahead,
         }
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -5,7 +5,7 @@
 use tidescale_policy::types::{RequestId, Timestamp};
 
 use super::connection::ClientConnection;
-use super::stages::{Placement, Stage, WRITING_LIMIT};
+use super::stages::{Stage, StageEntry, WRITE_TIMEOUT};
 use super::{Clients, MIN_STAGE_AGE};
 use crate::context::{EventContext, IoContext, Owner};
 use crate::ids::ClientKey;
@@ -45,7 +45,7 @@
             return;
         }
         let owner = Owner::client(key);
-        match stage.time_limit() {
+        match stage.timeout() {
             Some(limit) => context.deadlines.set(owner, context.now + limit),
             None => context.deadlines.clear(owner),
         }
@@ -63,7 +63,7 @@
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
             .stages
-            .in_stage_before(Stage::Idle, latest)
+            .entered_stage_before(Stage::Idle, latest)
             .find(has_sent_nothing);
         let Some(key) = longest else {
             return false;
@@ -80,23 +80,23 @@
         let Some(client) = self.connections.get(key) else {
             return;
         };
-        let Some(placement) = self.stages.get(key) else {
+        let Some(entry) = self.stages.get(key) else {
             return;
         };
-        let Some(deadline) = stage_deadline(client, placement, context.io.now) else {
+        let Some(deadline) = stage_deadline(client, entry, context.io.now) else {
             return;
         };
         let owner = Owner::client(key);
         if context.io.now < deadline {
             return context.io.deadlines.set(owner, deadline);
         }
-        if placement.stage != Stage::Closing && !client.connection.is_silent() {
+        if entry.stage != Stage::Closing && !client.connection.is_silent() {
             // Received bytes were not read, for lack of buffers or because of the limit on reads:
             // they may hold a whole request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             return context.io.deadlines.set(owner, retry_at);
         }
-        if placement.stage != Stage::ReceivingMessage {
+        if entry.stage != Stage::ReceivingMessage {
             return self.close(key, context);
         }
         log_lines::client_message_timed_out(&context.io.log);
@@ -167,15 +167,15 @@
 /// When the time limit of a connection's stage expires; `None` if the stage has none.
 fn stage_deadline(
     client: &ClientConnection,
-    placement: Placement,
+    entry: StageEntry,
     now: Timestamp,
 ) -> Option<Timestamp> {
-    let limit = placement.stage.time_limit()?;
+    let limit = entry.stage.timeout()?;
     // A client that waits for a response is kept until it disconnects.
     let is_awaiting = client.pending_request().is_some();
-    if placement.stage == Stage::Writing && is_awaiting {
-        Some(now + WRITING_LIMIT)
+    if entry.stage == Stage::Writing && is_awaiting {
+        Some(now + WRITE_TIMEOUT)
     } else {
-        Some(placement.since + limit)
+        Some(entry.since + limit)
     }
 }
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -5,9 +5,10 @@
 use tidescale_policy::types::Timestamp;
 
 use super::connection::{ClientConnection, ClientState};
-use crate::postgres::framing::{MESSAGE_HEAD, STARTUP_HEAD};
+use crate::postgres::framing::{MESSAGE_HEADER_SIZE, STARTUP_HEADER_SIZE};
 use crate::postgres::{
-    self, ClientMessage, ProtocolError, Severity, StartupKind, sqlstate, startup_frame, whole_frame,
+    self, ClientMessage, ProtocolError, Severity, StartupKind, complete_frame, sqlstate,
+    startup_frame,
 };
 
 /// The result of handling the next message.
@@ -39,13 +40,13 @@
         {
             return self.handle_startup(accepted_in_shutdown, body, now);
         }
-        let Some(frame) = whole_frame::<ClientMessage>(&self.connection.input)? else {
+        let Some(frame) = complete_frame::<ClientMessage>(&self.connection.input)? else {
             return Ok(MessageStep::Incomplete);
         };
         if matches!(self.state, ClientState::AwaitingFirstRequest { .. }) {
             self.state = ClientState::Idle;
         }
-        let arrived_at = self.take_body(MESSAGE_HEAD..frame.length, body, now);
+        let arrived_at = self.take_body(MESSAGE_HEADER_SIZE..frame.length, body, now);
         let is_skipping = self.state == ClientState::SkippingToSync;
         match frame.kind {
             ClientMessage::Query if !is_skipping => Ok(MessageStep::Query { arrived_at }),
@@ -67,7 +68,7 @@
             ClientMessage::Terminate => self.state = ClientState::Closing { discarded: 0 },
             ClientMessage::Sync => {
                 self.state = ClientState::Idle;
-                postgres::put_ready(&mut self.connection.output);
+                postgres::put_ready_for_query(&mut self.connection.output);
             }
             ClientMessage::ExtendedQuery => {
                 self.state = ClientState::SkippingToSync;
@@ -75,7 +76,7 @@
             }
             ClientMessage::FunctionCall => {
                 self.put_unsupported("no function calls");
-                postgres::put_ready(&mut self.connection.output);
+                postgres::put_ready_for_query(&mut self.connection.output);
             }
             ClientMessage::Query
             | ClientMessage::Flush
@@ -94,13 +95,13 @@
         let Some(frame) = startup_frame(&self.connection.input)? else {
             return Ok(MessageStep::Incomplete);
         };
-        self.take_body(STARTUP_HEAD..frame.length, body, now);
+        self.take_body(STARTUP_HEADER_SIZE..frame.length, body, now);
         match frame.kind {
             StartupKind::Startup => {
-                if !postgres::names_user(body)? {
+                if !postgres::startup_has_user(body)? {
                     return Err(ProtocolError::NoUser);
                 }
-                postgres::put_welcome(&mut self.connection.output);
+                postgres::put_startup_response(&mut self.connection.output);
                 self.state = ClientState::AwaitingFirstRequest {
                     accepted_in_shutdown,
                 };
@@ -120,14 +121,14 @@
         body.clear();
         input.copy(range, body);
         input.skip(length);
-        self.arrivals.take(length, now)
+        self.arrivals.consume(length, now)
     }
 
     /// Answers a query without a statement.
     pub(super) fn answer_empty_query(&mut self) {
         let output = &mut self.connection.output;
-        postgres::put_empty_query(output);
-        postgres::put_ready(output);
+        postgres::put_empty_query_response(output);
+        postgres::put_ready_for_query(output);
     }
 
     /// Tells the client why its statement cannot be served; the connection stays open.
@@ -135,7 +136,7 @@
         let output = &mut self.connection.output;
         let code = sqlstate::SYNTAX_ERROR;
         postgres::put_error(output, Severity::Error, code, reason, "");
-        postgres::put_ready(output);
+        postgres::put_ready_for_query(output);
     }
 
     fn put_unsupported(&mut self, reason: &str) {
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -21,7 +21,7 @@
     /// The statement of the client.
     pub statement: Chain,
     /// Position of the digits of the client's time limit in the statement.
-    pub wait_range: Range<usize>,
+    pub time_limit_range: Range<usize>,
     /// For each attempt, by its index, the connection that it is in flight on.
     pub attempts: Vec<Option<EndpointConnectionKey>>,
 }
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -102,7 +102,7 @@
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
             .stages
-            .in_stage_before(Stage::ReceivingMessage, latest)
+            .entered_stage_before(Stage::ReceivingMessage, latest)
             .find(|key| *key != starved);
         if let Some(key) = longest {
             log_lines::client_buffers_exhausted(&context.io.log);
@@ -129,7 +129,7 @@
                 MessageStep::Incomplete => return Ok(()),
                 MessageStep::Handled => {}
                 MessageStep::Query { arrived_at } => {
-                    let text = postgres::query(&body)?;
+                    let text = postgres::decode_query(&body)?;
                     if text.trim().is_empty() {
                         client.answer_empty_query();
                     } else {
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -55,7 +55,7 @@
             client_request_id: self.statement.request_id.to_string(),
             is_repeatable: self.is_repeatable,
             statement,
-            wait_range: self.statement.wait_range.clone(),
+            time_limit_range: self.statement.time_limit_range.clone(),
             attempts: Vec::new(),
         }
     }
@@ -85,7 +85,7 @@
         let request = IncomingRequest {
             route: accepted.route,
             idempotency_key: Some(statement.code),
-            time_remaining: statement.wait.saturating_sub(time_waited),
+            time_remaining: statement.time_limit.saturating_sub(time_waited),
             cost_hint: None,
         };
         let pending = accepted.to_pending(key, &context.io.pool);
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -56,7 +56,7 @@
         if let Some(client) = self.connections.get_mut(key) {
             client.state = ClientState::Idle;
             write(&mut client.connection.output);
-            postgres::put_ready(&mut client.connection.output);
+            postgres::put_ready_for_query(&mut client.connection.output);
             // An error is found when the connection is served in the next iteration.
             let _ = client.connection.flush();
             self.pending.push(key);
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -9,15 +9,15 @@
 use crate::ids::{ClientKey, SlotKey};
 
 /// How long a connection stays open after an error, so that the client can read it.
-const CLOSING_LIMIT: Duration = Duration::from_millis(1000);
+const CLOSING_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time limit for the startup message, and again for the first request.
-const OPENING_LIMIT: Duration = Duration::from_millis(2000);
+const OPENING_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Time limit between requests. Clients hold a limited number of connections, too.
-const IDLE_LIMIT: Duration = Duration::from_millis(2200);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Time limit from the first byte of a message to its last.
-const MESSAGE_LIMIT: Duration = Duration::from_millis(2400);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2400);
 /// A client that reads nothing of its response for this long counts as disconnected.
-pub const WRITING_LIMIT: Duration = Duration::from_millis(10_000);
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 /// What a connection waits for, in the order of eviction: connections in earlier stages are closed
 /// first.
@@ -41,21 +41,21 @@
 
 impl Stage {
     /// How long a connection may stay in the stage; `None` if the client cannot end it.
-    pub const fn time_limit(self) -> Option<Duration> {
+    pub const fn timeout(self) -> Option<Duration> {
         match self {
-            Stage::Closing => Some(CLOSING_LIMIT),
-            Stage::Opening | Stage::AwaitingFirstRequest => Some(OPENING_LIMIT),
-            Stage::Idle => Some(IDLE_LIMIT),
-            Stage::ReceivingMessage => Some(MESSAGE_LIMIT),
-            Stage::Writing => Some(WRITING_LIMIT),
+            Stage::Closing => Some(CLOSING_TIMEOUT),
+            Stage::Opening | Stage::AwaitingFirstRequest => Some(OPENING_TIMEOUT),
+            Stage::Idle => Some(IDLE_TIMEOUT),
+            Stage::ReceivingMessage => Some(MESSAGE_TIMEOUT),
+            Stage::Writing => Some(WRITE_TIMEOUT),
             Stage::AwaitingResponse => None,
         }
     }
 }
 
-/// The stage of a connection. Placements are ordered by stage, then time, then connection.
+/// The stage of a connection. Entries are ordered by stage, then time, then connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Placement {
+pub struct StageEntry {
     /// The stage.
     pub stage: Stage,
     /// When the connection entered it.
@@ -66,13 +66,13 @@
 
 /// All connections by stage and time.
 ///
-/// Invariants: each connection has at most one placement, which is in both maps; `idle_count` is
-/// the number of placements in [`Stage::Idle`]. A placement is the stage recorded last, which may
+/// Invariants: each connection has at most one entry, which is in both maps; `idle_count` is the
+/// number of entries in [`Stage::Idle`]. An entry holds the stage recorded last, which may
 /// be older than the state of the connection.
 #[derive(Default)]
 pub struct ConnectionsByStage {
-    in_order: BTreeSet<Placement>,
-    by_connection: BTreeMap<ClientKey, Placement>,
+    in_order: BTreeSet<StageEntry>,
+    by_connection: BTreeMap<ClientKey, StageEntry>,
     idle_count: usize,
 }
 
@@ -87,27 +87,27 @@
             return false;
         }
         self.remove(connection);
-        let placement = Placement {
+        let entry = StageEntry {
             stage,
             since: now,
             connection,
         };
-        self.in_order.insert(placement);
-        self.by_connection.insert(connection, placement);
+        self.in_order.insert(entry);
+        self.by_connection.insert(connection, entry);
         self.idle_count += usize::from(stage == Stage::Idle);
         true
     }
 
     /// Removes a connection.
     pub fn remove(&mut self, connection: ClientKey) {
-        if let Some(placement) = self.by_connection.remove(&connection) {
-            self.in_order.remove(&placement);
-            self.idle_count -= usize::from(placement.stage == Stage::Idle);
+        if let Some(entry) = self.by_connection.remove(&connection) {
+            self.in_order.remove(&entry);
+            self.idle_count -= usize::from(entry.stage == Stage::Idle);
         }
     }
 
-    /// The placement of a connection.
-    pub fn get(&self, connection: ClientKey) -> Option<Placement> {
+    /// The entry of a connection.
+    pub fn get(&self, connection: ClientKey) -> Option<StageEntry> {
         self.by_connection.get(&connection).copied()
     }
 
@@ -119,31 +119,31 @@
     /// Connections that may be closed for another one, the first to close first: those that close
     /// anyway, then those without a pending request that have been in their stage since `latest` or
     /// longer.
-    pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = Placement> {
+    pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = StageEntry> {
         self.in_order
             .iter()
-            .take_while(|placement| placement.stage <= Stage::ReceivingMessage)
-            .filter(move |placement| placement.stage == Stage::Closing || placement.since <= latest)
+            .take_while(|entry| entry.stage <= Stage::ReceivingMessage)
+            .filter(move |entry| entry.stage == Stage::Closing || entry.since <= latest)
             .copied()
     }
 
     /// Connections that entered a stage before a time, the earliest first.
-    pub fn in_stage_before(
+    pub fn entered_stage_before(
         &self,
         stage: Stage,
         before: Timestamp,
     ) -> impl Iterator<Item = ClientKey> {
-        let first = Placement {
+        let first = StageEntry {
             stage,
             since: Timestamp::ZERO,
             connection: SlotKey::new(0).into(),
         };
-        let end = Placement {
+        let end = StageEntry {
             since: before,
             ..first
         };
         self.in_order
             .range(first..end)
-            .map(|placement| placement.connection)
+            .map(|entry| entry.connection)
     }
 }
--- a/crates/proxy/src/postgres.rs
+++ b/crates/proxy/src/postgres.rs
@@ -20,15 +20,16 @@
 use thiserror::Error;
 
 pub use encoding::{
-    Severity, put_empty_query, put_error, put_query, put_ready, put_startup, put_statement,
-    put_welcome,
+    Severity, put_empty_query_response, put_error, put_query, put_ready_for_query, put_startup,
+    put_startup_response, put_statement,
 };
 pub use framing::{
-    ClientMessage, EndpointMessage, Frame, StartupKind, frame_head, startup_frame, whole_frame,
+    ClientMessage, EndpointMessage, Frame, StartupKind, complete_frame, frame_header, startup_frame,
 };
 pub use messages::{
     ErrorResponse, ParameterStatus, check_authentication, check_command_complete,
-    check_ready_for_query, check_row_description, error, names_user, parameter, query, row,
+    check_ready_for_query, check_row_description, decode_data_row, decode_error_response,
+    decode_parameter_status, decode_query, startup_has_user,
 };
 pub use statement::{ClientStatement, parse_statement};
 
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -64,16 +64,17 @@
     put_message(out, b'Q', &[statement, &[0]]);
 }
 
-/// Writes the statement of a client with the time limit replaced by `wait`, in whole milliseconds.
+/// Writes a query with the statement of a client. `time_limit`, in whole milliseconds, replaces the
+/// digits at `time_limit_range`.
 pub fn put_statement(
     out: &mut Chain,
     statement: &Chain,
-    wait_range: &Range<usize>,
-    wait: Duration,
+    time_limit_range: &Range<usize>,
+    time_limit: Duration,
 ) {
-    let digits = wait.as_millis().to_string();
-    let before = statement.slices(0..wait_range.start);
-    let after = statement.slices(wait_range.end..statement.len());
+    let digits = time_limit.as_millis().to_string();
+    let before = statement.slices(0..time_limit_range.start);
+    let after = statement.slices(time_limit_range.end..statement.len());
     let body: Vec<&[u8]> = before
         .chain([digits.as_bytes()])
         .chain(after)
@@ -83,21 +84,21 @@
 }
 
 /// Writes the messages that accept a client.
-pub fn put_welcome(out: &mut Chain) {
+pub fn put_startup_response(out: &mut Chain) {
     put_message(out, b'R', &[&[0; 4]]);
     for (name, value) in SERVER_PARAMETERS {
         put_message(out, b'S', &[name.as_bytes(), &[0], value.as_bytes(), &[0]]);
     }
-    put_ready(out);
+    put_ready_for_query(out);
 }
 
 /// Writes ReadyForQuery: the next query is accepted.
-pub fn put_ready(out: &mut Chain) {
+pub fn put_ready_for_query(out: &mut Chain) {
     put_message(out, b'Z', &[b"I"]);
 }
 
 /// Writes the response to a query without a statement.
-pub fn put_empty_query(out: &mut Chain) {
+pub fn put_empty_query_response(out: &mut Chain) {
     put_message(out, b'I', &[]);
 }
 
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -14,20 +14,20 @@
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
 
 /// Bytes before the body of a startup message: the length and the protocol version.
-pub const STARTUP_HEAD: usize = 8;
+pub const STARTUP_HEADER_SIZE: usize = 8;
 /// Bytes before the body of any other message: the type and the length.
-pub const MESSAGE_HEAD: usize = 5;
+pub const MESSAGE_HEADER_SIZE: usize = 5;
 /// Bytes of the length field, which the length of a message includes.
-const LENGTH_FIELD: usize = 4;
+const LENGTH_FIELD_SIZE: usize = 4;
 
 /// The longest startup message, as in PostgreSQL.
 const MAX_STARTUP_LENGTH: usize = 10_000;
 /// The longest value that clients write, in bytes.
 pub const MAX_VALUE_LENGTH: usize = 64 * 1024;
 /// Bytes in a query for the statement around a value.
-const STATEMENT_LENGTH: usize = 4096;
+const MAX_STATEMENT_OVERHEAD: usize = 4096;
 /// The longest body of a query: a value in hexadecimal, and the statement around it.
-const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + STATEMENT_LENGTH;
+const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + MAX_STATEMENT_OVERHEAD;
 /// The longest body of a data row; endpoints return values of some hundred kilobytes.
 pub const MAX_DATA_ROW_BODY: usize = 1024 * 1024;
 /// The longest body of a message with neither a statement nor a value.
@@ -177,10 +177,10 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(STARTUP_HEAD..=MAX_STARTUP_LENGTH).contains(&length) {
+    if !(STARTUP_HEADER_SIZE..=MAX_STARTUP_LENGTH).contains(&length) {
         return Err(ProtocolError::StartupLength);
     }
-    let Some(code) = read_u32(input, LENGTH_FIELD) else {
+    let Some(code) = read_u32(input, LENGTH_FIELD_SIZE) else {
         return Ok(None);
     };
     let kind = match code {
@@ -196,7 +196,7 @@
 ///
 /// # Errors
 /// This side of a connection sends no such kind of message, or the message is too long.
-pub fn frame_head<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
+pub fn frame_header<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
     let Some(byte) = input.slices(0..1).flatten().next() else {
         return Ok(None);
     };
@@ -205,7 +205,7 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(LENGTH_FIELD..=kind.max_body() + LENGTH_FIELD).contains(&length) {
+    if !(LENGTH_FIELD_SIZE..=kind.max_body() + LENGTH_FIELD_SIZE).contains(&length) {
         return Err(ProtocolError::MessageLength);
     }
     Ok(Some(Frame {
@@ -217,9 +217,9 @@
 /// The next message, once it is complete.
 ///
 /// # Errors
-/// As for [`frame_head`].
-pub fn whole_frame<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
-    let head = frame_head(input)?;
+/// As for [`frame_header`].
+pub fn complete_frame<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
+    let head = frame_header(input)?;
     Ok(head.filter(|frame| input.len() >= frame.length))
 }
 
--- a/crates/proxy/src/postgres/messages.rs
+++ b/crates/proxy/src/postgres/messages.rs
@@ -3,7 +3,7 @@
 use super::ProtocolError;
 
 /// A text up to its zero byte, and the bytes after that.
-fn split_text(body: &[u8]) -> Option<(&str, &[u8])> {
+fn split_c_string(body: &[u8]) -> Option<(&str, &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     let (text, rest) = body.split_at(end);
     Some((std::str::from_utf8(text).ok()?, rest.get(1..)?))
@@ -14,10 +14,10 @@
 ///
 /// # Errors
 /// The pairs do not end where the message does.
-pub fn names_user(mut body: &[u8]) -> Result<bool, ProtocolError> {
+pub fn startup_has_user(mut body: &[u8]) -> Result<bool, ProtocolError> {
     let mut has_user = false;
     loop {
-        let (name, rest) = split_text(body).ok_or(ProtocolError::UnterminatedStartup)?;
+        let (name, rest) = split_c_string(body).ok_or(ProtocolError::UnterminatedStartup)?;
         if name.is_empty() {
             return if rest.is_empty() {
                 Ok(has_user)
@@ -25,7 +25,7 @@
                 Err(ProtocolError::UnterminatedStartup)
             };
         }
-        let (value, rest) = split_text(rest).ok_or(ProtocolError::UnterminatedStartup)?;
+        let (value, rest) = split_c_string(rest).ok_or(ProtocolError::UnterminatedStartup)?;
         has_user |= name == "user" && !value.is_empty();
         body = rest;
     }
@@ -35,8 +35,8 @@
 ///
 /// # Errors
 /// The body is not exactly one text with its terminator.
-pub fn query(body: &[u8]) -> Result<&str, ProtocolError> {
-    match split_text(body) {
+pub fn decode_query(body: &[u8]) -> Result<&str, ProtocolError> {
+    match split_c_string(body) {
         Some((statement, [])) => Ok(statement),
         _ => Err(ProtocolError::UnterminatedQuery),
     }
@@ -55,11 +55,11 @@
 ///
 /// # Errors
 /// A field has no end, or there is no code.
-pub fn error(mut body: &[u8]) -> Result<ErrorResponse, ProtocolError> {
+pub fn decode_error_response(mut body: &[u8]) -> Result<ErrorResponse, ProtocolError> {
     let mut code = None;
     let mut message = String::new();
     while let Some((&field, rest)) = body.split_first().filter(|(field, _)| **field != 0) {
-        let (value, rest) = split_text(rest).ok_or(ProtocolError::UnterminatedField)?;
+        let (value, rest) = split_c_string(rest).ok_or(ProtocolError::UnterminatedField)?;
         match field {
             b'C' => code = Some(value.to_string()),
             b'M' => message = value.to_string(),
@@ -84,9 +84,9 @@
 ///
 /// # Errors
 /// The body is not two texts.
-pub fn parameter(body: &[u8]) -> Result<ParameterStatus<'_>, ProtocolError> {
-    let (name, rest) = split_text(body).ok_or(ProtocolError::UnterminatedParameter)?;
-    let (value, _) = split_text(rest).ok_or(ProtocolError::UnterminatedParameter)?;
+pub fn decode_parameter_status(body: &[u8]) -> Result<ParameterStatus<'_>, ProtocolError> {
+    let (name, rest) = split_c_string(body).ok_or(ProtocolError::UnterminatedParameter)?;
+    let (value, _) = split_c_string(rest).ok_or(ProtocolError::UnterminatedParameter)?;
     Ok(ParameterStatus { name, value })
 }
 
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// There is not exactly one value, or its length does not match the body.
-pub fn row(body: &[u8]) -> Result<&[u8], ProtocolError> {
+pub fn decode_data_row(body: &[u8]) -> Result<&[u8], ProtocolError> {
     let Some((length, value)) = body
         .strip_prefix(&[0, 1])
         .and_then(<[u8]>::split_first_chunk)
@@ -116,7 +116,7 @@
 pub fn check_row_description(body: &[u8]) -> Result<(), ProtocolError> {
     let after_name = body
         .strip_prefix(&[0, 1])
-        .and_then(split_text)
+        .and_then(split_c_string)
         .map(|(_, rest)| rest);
     match after_name {
         // Table, column, type, size and modifier; then the format, text or binary.
@@ -130,7 +130,7 @@
 /// # Errors
 /// It does not.
 pub fn check_command_complete(body: &[u8]) -> Result<(), ProtocolError> {
-    match split_text(body) {
+    match split_c_string(body) {
         Some(("SELECT 1" | "INSERT 0 1" | "SHOW", [])) => Ok(()),
         _ => Err(ProtocolError::CommandComplete),
     }
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -16,9 +16,9 @@
 use super::framing::MAX_VALUE_LENGTH;
 
 /// The longest code, id or key, in hexadecimal digits.
-const MAX_ID_LENGTH: usize = 64;
+const MAX_IDENTIFIER_LENGTH: usize = 64;
 /// The longest time that a client may wait: an hour.
-const MAX_WAIT_MS: u64 = 3_600_000;
+const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
 
 const SELECT_BEFORE_CODE: &str = "SELECT data FROM facts WHERE code = '";
 const SELECT_AFTER_CODE: &str = "' /* ";
@@ -34,7 +34,7 @@
 pub enum StatementError {
     /// It differs from the form.
     #[error("a statement of another form")]
-    Form,
+    UnsupportedForm,
     /// Its comment has a field twice.
     #[error("a field given twice")]
     RepeatedField,
@@ -43,7 +43,7 @@
     MissingField,
     /// The time limit is not a number of milliseconds of up to an hour.
     #[error("not a time")]
-    Wait,
+    InvalidTimeLimit,
 }
 
 /// A parsed statement.
@@ -58,9 +58,9 @@
     /// The key of the client, if it sent one.
     pub key: Option<&'a str>,
     /// How long the client waits for the response.
-    pub wait: Duration,
+    pub time_limit: Duration,
     /// Position of the digits of the time limit in the statement.
-    pub wait_range: Range<usize>,
+    pub time_limit_range: Range<usize>,
 }
 
 /// Parses a statement of the form that clients use.
@@ -69,22 +69,22 @@
 /// It has another form, or a field of its comment is missing or invalid.
 pub fn parse_statement(statement: &str) -> Result<ClientStatement<'_>, StatementError> {
     let parts = split_statement(statement)?;
-    let comment = Comment::parse(&parts)?;
+    let comment = CommentFields::parse(&parts)?;
     let request_id = comment.id.ok_or(StatementError::MissingField)?;
     let route = comment.route.ok_or(StatementError::MissingField)?;
-    let wait = comment.wait.ok_or(StatementError::MissingField)?;
-    let wait_ms = parse_wait(wait.digits)?;
+    let time_limit = comment.time_limit.ok_or(StatementError::MissingField)?;
+    let time_limit_ms = parse_time_limit(time_limit.digits)?;
     let is_key_valid = comment.key.is_none_or(is_identifier);
     if !is_identifier(parts.code) || !is_identifier(request_id) || !is_key_valid {
-        return Err(StatementError::Form);
+        return Err(StatementError::UnsupportedForm);
     }
     Ok(ClientStatement {
         request_id,
         route,
         code: parts.code,
         key: comment.key,
-        wait: Duration::from_millis(wait_ms),
-        wait_range: wait.start..wait.start + wait.digits.len(),
+        time_limit: Duration::from_millis(time_limit_ms),
+        time_limit_range: time_limit.start..time_limit.start + time_limit.digits.len(),
     })
 }
 
@@ -99,11 +99,11 @@
 fn split_statement(statement: &str) -> Result<StatementParts<'_>, StatementError> {
     let (code, comment) = split_select(statement)
         .or_else(|| split_insert(statement))
-        .ok_or(StatementError::Form)?;
+        .ok_or(StatementError::UnsupportedForm)?;
     let fields = comment
         .strip_suffix(COMMENT_END)
         .filter(|fields| !fields.contains("*/"))
-        .ok_or(StatementError::Form)?;
+        .ok_or(StatementError::UnsupportedForm)?;
     Ok(StatementParts {
         code,
         fields,
@@ -139,37 +139,39 @@
 }
 
 /// The digits of a time limit and their position in the statement.
-struct Wait<'a> {
+struct TimeLimitField<'a> {
     digits: &'a str,
     start: usize,
 }
 
 /// The fields of a comment that the proxy uses; others are forwarded unchanged.
 #[derive(Default)]
-struct Comment<'a> {
+struct CommentFields<'a> {
     id: Option<&'a str>,
     route: Option<&'a str>,
-    wait: Option<Wait<'a>>,
+    time_limit: Option<TimeLimitField<'a>>,
     key: Option<&'a str>,
 }
 
-impl<'a> Comment<'a> {
-    fn parse(parts: &StatementParts<'a>) -> Result<Comment<'a>, StatementError> {
-        let mut comment = Comment::default();
+impl<'a> CommentFields<'a> {
+    fn parse(parts: &StatementParts<'a>) -> Result<CommentFields<'a>, StatementError> {
+        let mut comment = CommentFields::default();
         let mut pair_start = parts.fields_start;
         for pair in parts.fields.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(StatementError::Form)?;
+            let (name, value) = pair
+                .split_once('=')
+                .ok_or(StatementError::UnsupportedForm)?;
             let start = pair_start + name.len() + 1;
             pair_start += pair.len() + 1;
             let is_repeated = match name {
                 "id" => comment.id.replace(value).is_some(),
                 "c" => comment.route.replace(value).is_some(),
                 "d" => {
-                    let wait = Wait {
+                    let time_limit = TimeLimitField {
                         digits: value,
                         start,
                     };
-                    comment.wait.replace(wait).is_some()
+                    comment.time_limit.replace(time_limit).is_some()
                 }
                 "k" => comment.key.replace(value).is_some(),
                 _ => false,
@@ -182,19 +184,19 @@
     }
 }
 
-fn parse_wait(digits: &str) -> Result<u64, StatementError> {
+fn parse_time_limit(digits: &str) -> Result<u64, StatementError> {
     // `parse` would accept a sign.
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(StatementError::Wait);
+        return Err(StatementError::InvalidTimeLimit);
     }
-    let wait_ms = digits.parse().ok();
-    wait_ms
-        .filter(|wait_ms| *wait_ms <= MAX_WAIT_MS)
-        .ok_or(StatementError::Wait)
+    let time_limit_ms = digits.parse().ok();
+    time_limit_ms
+        .filter(|time_limit_ms| *time_limit_ms <= MAX_TIME_LIMIT_MS)
+        .ok_or(StatementError::InvalidTimeLimit)
 }
 
 fn is_identifier(text: &str) -> bool {
     !text.is_empty()
-        && text.len() <= MAX_ID_LENGTH
+        && text.len() <= MAX_IDENTIFIER_LENGTH
         && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -7,7 +7,7 @@
 use super::outcomes::{AnswerError, RequestProgress};
 use crate::connection::Connection;
 use crate::load_report;
-use crate::postgres::framing::MESSAGE_HEAD;
+use crate::postgres::framing::MESSAGE_HEADER_SIZE;
 use crate::postgres::{self, EndpointMessage, Frame};
 
 /// The state of a connection to an endpoint.
@@ -131,7 +131,7 @@
     pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
         let input = &mut self.connection.input;
         body.clear();
-        input.copy(MESSAGE_HEAD..frame.length, body);
+        input.copy(MESSAGE_HEADER_SIZE..frame.length, body);
         input.skip(frame.length);
     }
 
@@ -146,7 +146,9 @@
         health_check: HealthCheckQuery,
     ) -> Result<(), AnswerError> {
         body.clear();
-        self.connection.input.copy(MESSAGE_HEAD..frame.length, body);
+        self.connection
+            .input
+            .copy(MESSAGE_HEADER_SIZE..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
             _ => return Err(AnswerError::Unrequested),
@@ -160,7 +162,7 @@
                 exchange.next_part = EndpointMessage::DataRow;
             }
             EndpointMessage::DataRow => {
-                let value = postgres::row(body)?;
+                let value = postgres::decode_data_row(body)?;
                 let is_load_report = exchange.job == Job::HealthCheck
                     && health_check == HealthCheckQuery::LoadReport;
                 if is_load_report {
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -15,7 +15,7 @@
 use crate::load_report;
 use crate::log_lines;
 use crate::postgres::framing::MAX_DATA_ROW_BODY;
-use crate::postgres::{self, EndpointMessage, Frame, whole_frame};
+use crate::postgres::{self, EndpointMessage, Frame, complete_frame};
 
 /// Bytes read before they are handled: the longest message and some more.
 const READ_AHEAD: usize = MAX_DATA_ROW_BODY + 4096;
@@ -92,7 +92,7 @@
         let mut readiness = QueryReadiness::NotReady;
         while let Some(connection) = self.connections.get_mut(key) {
             let input = &connection.connection.input;
-            let Some(frame) = whole_frame::<EndpointMessage>(input)? else {
+            let Some(frame) = complete_frame::<EndpointMessage>(input)? else {
                 break;
             };
             if frame.kind != EndpointMessage::ReadyForQuery {
@@ -183,7 +183,7 @@
 
 /// Records a load report. One that cannot be parsed does not invalidate the response.
 fn take_parameter(connection: &mut EndpointConnection, body: &[u8], context: &IoContext) {
-    let Ok(parameter) = postgres::parameter(body) else {
+    let Ok(parameter) = postgres::decode_parameter_status(body) else {
         return;
     };
     if parameter.name != LOAD_PARAMETER {
@@ -205,7 +205,7 @@
     body: &[u8],
     context: &IoContext,
 ) -> Result<(), AnswerError> {
-    let error = postgres::error(body)?;
+    let error = postgres::decode_error_response(body)?;
     if !is_known_sqlstate(&error.code) {
         log_lines::unknown_endpoint_error(&context.log, &connection.endpoint, &error);
     }
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -123,7 +123,7 @@
             Job::Attempt(id) => {
                 let pending = clients.request(id.request)?;
                 let statement = &pending.statement;
-                postgres::put_statement(output, statement, &pending.wait_range, wait);
+                postgres::put_statement(output, statement, &pending.time_limit_range, wait);
             }
             Job::HealthCheck => postgres::put_query(output, health_check.text()),
         }
