--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -71,7 +71,7 @@
     requests: PendingRequests,
     routes: Vec<Route>,
     /// Connections that may already have received their next message.
-    pending: Vec<ClientKey>,
+    to_serve: Vec<ClientKey>,
     /// Connections that were not read because no buffer was free.
     starved: Vec<ClientKey>,
     is_shutting_down: bool,
@@ -99,7 +99,7 @@
             stages: ConnectionsByStage::default(),
             requests: PendingRequests::new(),
             routes,
-            pending: Vec::new(),
+            to_serve: Vec::new(),
             starved: Vec::new(),
             is_shutting_down: false,
         })
@@ -108,12 +108,12 @@
     /// There is work to do before the event loop reports anything.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
         let has_connections_to_accept = match self.listener_state {
-            ListenerState::BatchTaken => true,
+            ListenerState::BatchAccepted => true,
             ListenerState::Ready => !self.connections.is_full(),
             ListenerState::Drained | ListenerState::Failed => false,
         };
         has_connections_to_accept
-            || !self.pending.is_empty()
+            || !self.to_serve.is_empty()
             || !self.starved.is_empty() && !context.clients_pool.is_empty()
     }
 
@@ -126,13 +126,13 @@
     pub fn on_ready(&mut self, key: ClientKey, readiness: Readiness) {
         if let Some(client) = self.connections.get_mut(key) {
             client.connection.on_ready(readiness);
-            self.pending.push(key);
+            self.to_serve.push(key);
         }
     }
 
     /// Takes the connections to serve in this iteration, in the order of their keys.
     pub fn take_pending(&mut self) -> Vec<ClientKey> {
-        let mut pending = std::mem::take(&mut self.pending);
+        let mut pending = std::mem::take(&mut self.to_serve);
         pending.append(&mut self.starved);
         pending.sort_unstable();
         pending.dedup();
@@ -158,7 +158,7 @@
     /// period ends.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
-        self.pending
+        self.to_serve
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -25,7 +25,7 @@
     /// Some may wait.
     Ready,
     /// This iteration has accepted as many as it may; more may wait.
-    BatchTaken,
+    BatchAccepted,
     /// The system could not accept a connection. The next iteration tries again, whenever it is
     /// run.
     Failed,
@@ -47,7 +47,7 @@
         }
         self.listener_state = ListenerState::Ready;
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
-            if self.connections.is_full() && !self.make_room(context) {
+            if self.connections.is_full() && !self.evict_connection(context) {
                 return;
             }
             match self.listener.accept() {
@@ -64,7 +64,7 @@
                 }
             }
         }
-        self.listener_state = ListenerState::BatchTaken;
+        self.listener_state = ListenerState::BatchAccepted;
     }
 
     fn add(&mut self, socket: TcpStream, context: &mut IoContext) {
@@ -78,7 +78,7 @@
             Some(Ok(key)) => {
                 self.set_stage(key, Stage::Opening, context);
                 // Most clients send their startup message with the connect.
-                self.pending.push(key);
+                self.to_serve.push(key);
             }
             Some(Err(error)) => log_lines::client_registration_failed(&context.log, &error),
             None => {}
@@ -86,7 +86,7 @@
     }
 
     /// Closes the first connection in the order of eviction. Returns whether there was one.
-    fn make_room(&mut self, context: &mut EventContext<'_>) -> bool {
+    fn evict_connection(&mut self, context: &mut EventContext<'_>) -> bool {
         let Some(StageEntry {
             stage, connection, ..
         }) = self.first_to_evict(context.io)
@@ -102,7 +102,7 @@
             && let Some(client) = self.connections.get_mut(connection)
         {
             // The client must know that its incomplete message was not executed.
-            client.refuse(sqlstate::TOO_MANY_CONNECTIONS, "too many connections");
+            client.close_with_error(sqlstate::TOO_MANY_CONNECTIONS, "too many connections");
             let _ = client.connection.flush();
         }
         self.close(connection, context);
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -13,12 +13,12 @@
 const READ_AHEAD: usize = SIZE;
 /// Bytes read ahead while many buffers are free. The time of a request starts when it is read, so
 /// that reading early measures it more exactly.
-const FAR_READ_AHEAD: usize = 16 * SIZE;
+const EXTENDED_READ_AHEAD: usize = 16 * SIZE;
 /// Bytes discarded after an error without waiting for readiness. Closing a socket with unread input
 /// resets the connection, and the client could not read the error.
-const MAX_DISCARDED: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Bytes discarded in one event-loop iteration.
-const DISCARDED_PER_ITERATION: usize = MAX_DISCARDED / 4;
+const DISCARDED_BYTES_PER_ITERATION: usize = MAX_DISCARDED_BYTES / 4;
 
 /// The state of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,7 +111,7 @@
 
     /// Whether its next message may be handled. The limit on output keeps the responses of a client
     /// that sends without reading from piling up.
-    pub(super) fn takes_messages(&self) -> bool {
+    pub(super) fn accepts_messages(&self) -> bool {
         let is_awaiting = self.pending_request().is_some();
         !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD
     }
@@ -133,11 +133,11 @@
     /// the start of the next message is read.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_ample() {
-            FAR_READ_AHEAD
+            EXTENDED_READ_AHEAD
         } else {
             READ_AHEAD
         };
-        if !self.is_open() || !self.takes_messages() {
+        if !self.is_open() || !self.accepts_messages() {
             return read_ahead;
         }
         match frame_header::<ClientMessage>(&self.connection.input) {
@@ -147,7 +147,7 @@
     }
 
     /// Sends the reason why the connection ends. It closes once the client has read that.
-    pub(super) fn refuse(&mut self, code: &str, reason: &str) {
+    pub(super) fn close_with_error(&mut self, code: &str, reason: &str) {
         let Connection { input, output, .. } = &mut self.connection;
         postgres::put_error(output, Severity::Fatal, code, reason, "");
         input.skip(input.len());
@@ -163,9 +163,9 @@
             return false;
         };
         // Beyond the limit, another part is discarded each time the event loop reports more.
-        let limit = match MAX_DISCARDED.checked_sub(*discarded) {
-            Some(remaining) => remaining.min(DISCARDED_PER_ITERATION),
-            None => DISCARDED_PER_ITERATION,
+        let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded) {
+            Some(remaining) => remaining.min(DISCARDED_BYTES_PER_ITERATION),
+            None => DISCARDED_BYTES_PER_ITERATION,
         };
         let result = self.connection.discard(limit);
         *discarded += result.bytes;
@@ -175,7 +175,7 @@
     /// There is more to discard without waiting for a report of the event loop.
     pub(super) fn has_more_to_discard(&self) -> bool {
         let is_within_limit = match self.state {
-            ClientState::Closing { discarded } => discarded < MAX_DISCARDED,
+            ClientState::Closing { discarded } => discarded < MAX_DISCARDED_BYTES,
             _ => false,
         };
         is_within_limit && self.connection.has_more()
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -14,7 +14,7 @@
 
 impl Clients {
     /// Writes pending output, closes the connection if it is done, and records its stage.
-    pub(super) fn settle(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
+    pub(super) fn finish_serving(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
@@ -33,7 +33,7 @@
         // A starved connection is served again once buffers are free.
         let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
         if has_input_to_handle(client, stage) && !is_starved() {
-            self.pending.push(key);
+            self.to_serve.push(key);
         }
         self.set_stage(key, stage, context.io);
         while self.stages.idle_count() > self.max_idle && self.close_longest_idle(context) {}
@@ -101,14 +101,14 @@
         }
         log_lines::client_message_timed_out(&context.io.log);
         let code = sqlstate::PROTOCOL_VIOLATION;
-        self.refuse(key, code, "a message without its end");
-        self.settle(key, context);
+        self.close_with_error(key, code, "a message without its end");
+        self.finish_serving(key, context);
     }
 
     /// Sends an error after which the connection closes.
-    pub(super) fn refuse(&mut self, key: ClientKey, code: &str, reason: &str) {
+    pub(super) fn close_with_error(&mut self, key: ClientKey, code: &str, reason: &str) {
         if let Some(client) = self.connections.get_mut(key) {
-            client.refuse(code, reason);
+            client.close_with_error(code, reason);
         }
     }
 
@@ -137,11 +137,11 @@
         };
         self.stages.remove(key);
         if let Some(request) = client.pending_request() {
-            self.forget_client(request, context.policy);
+            self.detach_client(request, context.policy);
         }
     }
 
-    fn forget_client(&mut self, id: RequestId, policy: &mut Balancer) {
+    fn detach_client(&mut self, id: RequestId, policy: &mut Balancer) {
         if let Some(pending) = self.requests.get_mut(id) {
             pending.client = None;
             policy.on_client_disconnected(id);
@@ -161,7 +161,7 @@
         // Input beyond the limit is discarded only when the event loop reports more.
         return client.has_more_to_discard();
     }
-    client.takes_messages() && client.may_have_message()
+    client.accepts_messages() && client.may_have_message()
 }
 
 /// When the time limit of a connection's stage expires; `None` if the stage has none.
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -12,7 +12,7 @@
 };
 
 /// The result of handling the next message.
-pub(super) enum MessageStep {
+pub(super) enum MessageResult {
     /// It was not received completely.
     Incomplete,
     /// It was handled.
@@ -33,7 +33,7 @@
         &mut self,
         body: &mut Vec<u8>,
         now: Timestamp,
-    ) -> Result<MessageStep, ProtocolError> {
+    ) -> Result<MessageResult, ProtocolError> {
         if let ClientState::Opening {
             accepted_in_shutdown,
         } = self.state
@@ -41,7 +41,7 @@
             return self.handle_startup(accepted_in_shutdown, body, now);
         }
         let Some(frame) = complete_frame::<ClientMessage>(&self.connection.input)? else {
-            return Ok(MessageStep::Incomplete);
+            return Ok(MessageResult::Incomplete);
         };
         if matches!(self.state, ClientState::AwaitingFirstRequest { .. }) {
             self.state = ClientState::Idle;
@@ -49,21 +49,21 @@
         let arrived_at = self.take_body(MESSAGE_HEADER_SIZE..frame.length, body, now);
         let is_skipping = self.state == ClientState::SkippingToSync;
         match frame.kind {
-            ClientMessage::Query if !is_skipping => Ok(MessageStep::Query { arrived_at }),
+            ClientMessage::Query if !is_skipping => Ok(MessageResult::Query { arrived_at }),
             ClientMessage::Query | ClientMessage::ExtendedQuery | ClientMessage::FunctionCall
                 if is_skipping =>
             {
-                Ok(MessageStep::Handled)
+                Ok(MessageResult::Handled)
             }
             kind => {
-                self.handle_other(kind);
-                Ok(MessageStep::Handled)
+                self.handle_non_query(kind);
+                Ok(MessageResult::Handled)
             }
         }
     }
 
     /// Handles a message that is neither a query nor skipped.
-    fn handle_other(&mut self, kind: ClientMessage) {
+    fn handle_non_query(&mut self, kind: ClientMessage) {
         match kind {
             ClientMessage::Terminate => self.state = ClientState::Closing { discarded: 0 },
             ClientMessage::Sync => {
@@ -72,10 +72,10 @@
             }
             ClientMessage::ExtendedQuery => {
                 self.state = ClientState::SkippingToSync;
-                self.put_unsupported("simple queries only");
+                self.put_unsupported_error("simple queries only");
             }
             ClientMessage::FunctionCall => {
-                self.put_unsupported("no function calls");
+                self.put_unsupported_error("no function calls");
                 postgres::put_ready_for_query(&mut self.connection.output);
             }
             ClientMessage::Query
@@ -91,9 +91,9 @@
         accepted_in_shutdown: bool,
         body: &mut Vec<u8>,
         now: Timestamp,
-    ) -> Result<MessageStep, ProtocolError> {
+    ) -> Result<MessageResult, ProtocolError> {
         let Some(frame) = startup_frame(&self.connection.input)? else {
-            return Ok(MessageStep::Incomplete);
+            return Ok(MessageResult::Incomplete);
         };
         self.take_body(STARTUP_HEADER_SIZE..frame.length, body, now);
         match frame.kind {
@@ -110,7 +110,7 @@
             StartupKind::Encryption => self.connection.output.push(b"N"),
             StartupKind::Cancel => self.state = ClientState::Closing { discarded: 0 },
         }
-        Ok(MessageStep::Handled)
+        Ok(MessageResult::Handled)
     }
 
     /// Removes a message from the input and copies its body, which is at `range`. Returns when its
@@ -139,7 +139,7 @@
         postgres::put_ready_for_query(output);
     }
 
-    fn put_unsupported(&mut self, reason: &str) {
+    fn put_unsupported_error(&mut self, reason: &str) {
         let code = sqlstate::FEATURE_NOT_SUPPORTED;
         let output = &mut self.connection.output;
         postgres::put_error(output, Severity::Error, code, reason, "");
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::ops::ControlFlow;
 
-use super::messages::MessageStep;
+use super::messages::MessageResult;
 use super::requests::ReceivedQuery;
 use super::stages::Stage;
 use super::{Clients, MIN_STAGE_AGE};
@@ -24,7 +24,7 @@
                 break;
             }
         }
-        self.settle(key, context);
+        self.finish_serving(key, context);
     }
 
     /// Reads once and handles what was received. Continues if there may be more to read.
@@ -40,12 +40,12 @@
         }
         if let Err(error) = self.handle_messages(key, context) {
             log_lines::invalid_client_message(&context.io.log, &error);
-            self.refuse(key, sqlstate::PROTOCOL_VIOLATION, &error.to_string());
+            self.close_with_error(key, sqlstate::PROTOCOL_VIOLATION, &error.to_string());
         }
         let may_read_on = self
             .connections
             .get(key)
-            .is_some_and(|client| client.takes_messages() && client.connection.has_more());
+            .is_some_and(|client| client.accepts_messages() && client.connection.has_more());
         if may_read_on && fill != Fill::Starved {
             ControlFlow::Continue(())
         } else {
@@ -108,8 +108,8 @@
             log_lines::client_buffers_exhausted(&context.io.log);
             // The rest of the message may be unread: the client must know that it was not executed.
             let code = sqlstate::TOO_MANY_CONNECTIONS;
-            self.refuse(key, code, "too many unfinished messages");
-            self.settle(key, context);
+            self.close_with_error(key, code, "too many unfinished messages");
+            self.finish_serving(key, context);
         }
     }
 
@@ -123,12 +123,12 @@
         while let Some(client) = self
             .connections
             .get_mut(key)
-            .filter(|client| client.takes_messages())
+            .filter(|client| client.accepts_messages())
         {
             match client.handle_message(&mut body, context.io.now)? {
-                MessageStep::Incomplete => return Ok(()),
-                MessageStep::Handled => {}
-                MessageStep::Query { arrived_at } => {
+                MessageResult::Incomplete => return Ok(()),
+                MessageResult::Handled => {}
+                MessageResult::Query { arrived_at } => {
                     let text = postgres::decode_query(&body)?;
                     if text.trim().is_empty() {
                         client.answer_empty_query();
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -39,15 +39,15 @@
 }
 
 /// A statement that can be served.
-struct AcceptedStatement<'a> {
+struct ValidStatement<'a> {
     text: &'a str,
     statement: ClientStatement<'a>,
     route: RouteIndex,
     is_repeatable: bool,
 }
 
-impl AcceptedStatement<'_> {
-    fn to_pending(&self, client: ClientKey, pool: &Pool) -> PendingRequest {
+impl ValidStatement<'_> {
+    fn to_pending_request(&self, client: ClientKey, pool: &Pool) -> PendingRequest {
         let mut statement = Chain::new(pool);
         statement.push(self.text.as_bytes());
         PendingRequest {
@@ -69,33 +69,33 @@
         query: ReceivedQuery<'_>,
         context: &mut EventContext<'_>,
     ) {
-        let accepted = self.accept_statement(query.text);
+        let validated = self.validate_statement(query.text);
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        let accepted = match accepted {
-            Ok(accepted) => accepted,
+        let valid = match validated {
+            Ok(valid) => valid,
             Err(error) => {
                 log_lines::statement_rejected(&context.io.log, &error);
                 return client.reject_statement(&error.to_string());
             }
         };
-        let statement = &accepted.statement;
+        let statement = &valid.statement;
         let time_waited = context.io.now - query.arrived_at;
         let request = IncomingRequest {
-            route: accepted.route,
+            route: valid.route,
             idempotency_key: Some(statement.code),
             time_remaining: statement.time_limit.saturating_sub(time_waited),
             cost_hint: None,
         };
-        let pending = accepted.to_pending(key, &context.io.pool);
+        let pending = valid.to_pending_request(key, &context.io.pool);
         if let Some(id) = self.requests.insert(pending) {
             client.state = ClientState::AwaitingResponse { request: id };
             context.policy.on_request(id, request);
         }
     }
 
-    fn accept_statement<'a>(&self, text: &'a str) -> Result<AcceptedStatement<'a>, RequestError> {
+    fn validate_statement<'a>(&self, text: &'a str) -> Result<ValidStatement<'a>, RequestError> {
         let statement = postgres::parse_statement(text)?;
         let (route, settings) = self
             .routes
@@ -110,7 +110,7 @@
         if self.requests.has_client_request_id(statement.request_id) {
             return Err(RequestError::IdInUse);
         }
-        Ok(AcceptedStatement {
+        Ok(ValidStatement {
             text,
             statement,
             route: RouteIndex::new(route),
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -14,8 +14,8 @@
 
 impl Clients {
     /// Forwards the response of an endpoint.
-    pub fn complete_request(&mut self, id: RequestId, answer: &mut Chain) {
-        self.respond(id, |output| answer.pass(answer.len(), output));
+    pub fn complete_request(&mut self, id: RequestId, response: &mut Chain) {
+        self.respond(id, |output| response.pass(response.len(), output));
     }
 
     /// An endpoint has found the request itself invalid.
@@ -59,7 +59,7 @@
             postgres::put_ready_for_query(&mut client.connection.output);
             // An error is found when the connection is served in the next iteration.
             let _ = client.connection.flush();
-            self.pending.push(key);
+            self.to_serve.push(key);
         }
         self.requests.remove_if_finished(id);
     }
