--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -1,21 +1,24 @@
-//! Connections of clients and the requests received over them.
+//! Client connections and the requests received over them.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `connection` | the states of one connection |
-//! | `messages` | handling one message of a client, as far as that needs no table |
+//! | `connection` | the state machine of one connection |
+//! | `messages` | handling one message with the state of its own connection only |
 //! | [`arrivals`] | when the bytes of each request were received |
-//! | [`stages`] | what each connection waits for, and which connections are closed first to free resources |
-//! | `pending_requests` | requests that are not finished |
-//! | `accepting` | accepting connections, and closing others to make room for them |
-//! | `reading` | reading from connections and handling what was received |
+//! | [`stages`] | the stage of each connection, its timeout, and the order of eviction |
+//! | `pending_requests` | the table of unfinished requests |
+//! | `accepting` | accepting connections, and evicting others at the connection limit |
+//! | `reading` | reading from connections and handling received messages |
 //! | `requests` | validating statements and passing requests to the policy |
 //! | `responses` | sending responses |
-//! | `lifecycle` | time limits, idle connections, closing |
+//! | `lifecycle` | timeouts, the limit on idle connections, and closing |
 //!
-//! Invariants: each connection in the table has a entry in the index of stages; the request
-//! that a connection waits for is pending and refers back to that connection; a response is written
-//! as a whole, followed by ReadyForQuery.
+//! Invariants:
+//!
+//! - Each connection in the table has an entry in the index of stages.
+//! - The request that a connection waits for is in the table of pending requests and refers back to
+//!   that connection.
+//! - A response is appended to the output as a whole, followed by ReadyForQuery.
 
 mod accepting;
 pub mod arrivals;
@@ -48,20 +51,20 @@
 
 pub use pending_requests::PendingRequest;
 
-/// Under pressure, a connection is not closed before it has been in its stage for this long: its
-/// next message may be in transit.
+/// Minimum time in a stage before a connection may be closed to free resources: its next message
+/// may be in transit.
 const MIN_STAGE_AGE: Duration = Duration::from_millis(100);
 
-/// How many connections clients may hold.
+/// Limits on the number of client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Connections at a time.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Connections that are idle between requests.
+    /// Maximum number of connections that are idle between requests.
     pub idle: usize,
 }
 
-/// All connections of clients and all pending requests.
+/// All client connections and all pending requests.
 pub struct Clients {
     listener: Rc<TcpListener>,
     listener_state: ListenerState,
@@ -70,18 +73,18 @@
     stages: ConnectionsByStage,
     requests: PendingRequests,
     routes: Vec<Route>,
-    /// Connections that may already have received their next message.
+    /// Connections to serve in the next iteration: the next message may already be available.
     to_serve: Vec<ClientKey>,
-    /// Connections that were not read because no buffer was free.
+    /// Connections whose read stopped because no buffer was free.
     starved: Vec<ClientKey>,
     is_shutting_down: bool,
 }
 
 impl Clients {
-    /// Starts to listen for clients.
+    /// Registers the listening socket with the event loop.
     ///
     /// # Errors
-    /// The listener cannot be set up or registered.
+    /// The listener cannot be made non-blocking or registered.
     pub fn new(
         context: &IoContext,
         listener: TcpListener,
@@ -105,7 +108,7 @@
         })
     }
 
-    /// There is work to do before the event loop reports anything.
+    /// Whether there is work to do without waiting for an event.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
         let has_connections_to_accept = match self.listener_state {
             ListenerState::BatchAccepted => true,
@@ -122,7 +125,7 @@
         self.requests.len()
     }
 
-    /// Records a readiness report of the event loop.
+    /// Records a readiness event of a connection.
     pub fn on_ready(&mut self, key: ClientKey, readiness: Readiness) {
         if let Some(client) = self.connections.get_mut(key) {
             client.connection.on_ready(readiness);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes the connections to serve in this iteration, in the order of their keys.
+    /// Takes the connections to serve in this iteration, sorted by key and without duplicates.
     pub fn take_pending(&mut self) -> Vec<ClientKey> {
         let mut pending = std::mem::take(&mut self.to_serve);
         pending.append(&mut self.starved);
@@ -139,31 +142,31 @@
         pending
     }
 
-    /// A pending request.
+    /// Returns a pending request.
     pub fn request(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(id)
     }
 
-    /// Whether a client waits for the response to a request.
+    /// Whether a client still waits for the response to a request.
     pub fn is_waiting(&self, id: RequestId) -> bool {
         self.requests.is_waiting(id)
     }
 
-    /// An attempt is no longer in flight.
+    /// Records that an attempt is no longer in flight.
     pub fn on_attempt_ended(&mut self, id: AttemptId) {
         self.requests.end_attempt(id);
     }
 
-    /// From now on connections close between requests; new ones are accepted until the accept
-    /// period ends.
+    /// Starts to close connections between requests. New connections are accepted until the accept
+    /// period of the shutdown ends.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
         self.to_serve
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
-    /// Nothing is pending for any client: all requests are answered and the responses written, no
-    /// message is incomplete or unread, and no connection waits to be accepted.
+    /// Whether nothing is pending for any client: all requests are answered and the responses
+    /// written, no message is incomplete or unread, and no connection waits to be accepted.
     pub fn is_idle(&self) -> bool {
         let is_pending = |client: &ClientConnection| match client.stage() {
             Stage::AwaitingResponse | Stage::Writing | Stage::ReceivingMessage => true,
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and closing others to make room for them.
+//! Accepting connections, and evicting others at the connection limit.
 
 use std::io;
 use std::net::TcpStream;
@@ -14,33 +14,34 @@
 use crate::log_lines;
 use crate::postgres::sqlstate;
 
-/// Most connections accepted in one event-loop iteration, so that others are served too.
+/// Maximum number of connections accepted in one event-loop iteration, so that established
+/// connections are served too.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
-/// Whether connections wait to be accepted. The event loop reports only the first of them.
+/// Whether connections wait to be accepted. The listener is registered edge-triggered, so the event
+/// loop reports only the first of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
-    /// None waits.
+    /// No connection waits.
     Drained,
-    /// Some may wait.
+    /// Connections may wait.
     Ready,
-    /// This iteration has accepted as many as it may; more may wait.
+    /// [`MAX_ACCEPTS_PER_ITERATION`] was reached; more connections may wait.
     BatchAccepted,
-    /// The system could not accept a connection. The next iteration tries again, whenever it is
-    /// run.
+    /// `accept` failed with an error that is not transient. The next iteration retries, but none is
+    /// scheduled for that.
     Failed,
 }
 
 impl Clients {
-    /// The event loop reports that a client connects.
+    /// Records that the listener is ready.
     pub fn on_accept_ready(&mut self) {
         if self.listener_state == ListenerState::Drained {
             self.listener_state = ListenerState::Ready;
         }
     }
 
-    /// Accepts connections up to the limit. At the limit, connections without a request are closed
-    /// to make room.
+    /// Accepts connections. At the connection limit, evicts connections without a pending request.
     pub fn accept(&mut self, context: &mut EventContext<'_>) {
         if self.listener_state == ListenerState::Drained {
             return;
@@ -77,7 +78,7 @@
         match inserted {
             Some(Ok(key)) => {
                 self.set_stage(key, Stage::Opening, context);
-                // Most clients send their startup message with the connect.
+                // Most clients send the startup message right after the handshake.
                 self.to_serve.push(key);
             }
             Some(Err(error)) => log_lines::client_registration_failed(&context.log, &error),
@@ -85,13 +86,13 @@
         }
     }
 
-    /// Closes the first connection in the order of eviction. Returns whether there was one.
+    /// Closes the first connection in eviction order. Returns whether one could be closed.
     fn evict_connection(&mut self, context: &mut EventContext<'_>) -> bool {
         let Some(StageEntry {
             stage, connection, ..
         }) = self.first_to_evict(context.io)
         else {
-            // All are too recent to be closed; try again as soon as one may be old enough.
+            // No connection may be evicted yet; retry once one may have reached the minimum age.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             let listener = Owner::only(Component::Listener);
             context.io.deadlines.set(listener, retry_at);
@@ -101,7 +102,7 @@
         if stage == Stage::ReceivingMessage
             && let Some(client) = self.connections.get_mut(connection)
         {
-            // The client must know that its incomplete message was not executed.
+            // Tells the client that its incomplete message was not executed.
             client.close_with_error(sqlstate::TOO_MANY_CONNECTIONS, "too many connections");
             let _ = client.connection.flush();
         }
@@ -111,8 +112,7 @@
 
     fn first_to_evict(&self, context: &IoContext) -> Option<StageEntry> {
         let latest = context.now - MIN_STAGE_AGE;
-        // A connection that has received bytes since it was last served is served before it may be
-        // closed.
+        // A connection with unread bytes is served before it may be closed.
         let has_sent_nothing = |entry: &StageEntry| {
             self.connections
                 .get(entry.connection)
@@ -122,7 +122,7 @@
     }
 }
 
-/// The failure concerns one connection only; the next one can be accepted.
+/// Whether the error affects only one connection, so that the next one can be accepted.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -1,26 +1,25 @@
-//! When the bytes of a connection were received. The time of a request starts with its last byte,
-//! even while it waits behind another request of the same connection. No I/O.
+//! Arrival times of the bytes of a connection. A request's time limit counts from the arrival of
+//! its last byte, also while it is queued behind another request on the same connection. No I/O.
 
 use std::collections::VecDeque;
 
 use tidescale_policy::types::Timestamp;
 
-/// Most arrival times kept for one connection. More are needed only if a client sends a few bytes
-/// at a time.
+/// Maximum number of arrivals kept per connection. More are needed only if a client sends a few
+/// bytes at a time.
 const MAX_ARRIVALS: usize = 256;
 
-/// Bytes received until one time.
+/// The number of bytes received up to a point in time.
 struct Arrival {
-    /// All bytes received by then, since the start of the connection.
+    /// Total since the start of the connection.
     received: u64,
     at: Timestamp,
 }
 
-/// Arrival times of the bytes that were received and not yet used.
+/// Arrival times of the bytes that were received and not yet consumed.
 ///
-/// Arrivals are in the order of both bytes and time. Once [`MAX_ARRIVALS`] are kept, further bytes
-/// count as received with the last of them, so that the time of a request may start too early but
-/// never too late.
+/// Arrivals are ordered by byte count and by time. Once `MAX_ARRIVALS` are kept, later bytes count
+/// as received with the last of them: the reported arrival may be too early, but never too late.
 #[derive(Default)]
 pub struct Arrivals {
     arrivals: VecDeque<Arrival>,
@@ -29,7 +28,7 @@
 }
 
 impl Arrivals {
-    /// Records that `count` more bytes were received.
+    /// Records `count` more bytes, received at `now`.
     pub fn record(&mut self, count: usize, now: Timestamp) {
         if count == 0 {
             return;
@@ -45,8 +44,8 @@
         }
     }
 
-    /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is
-    /// unknown.
+    /// Consumes the next `count` bytes. Returns when the last of them was received, or `now` if
+    /// that was not recorded.
     pub fn consume(&mut self, count: usize, now: Timestamp) -> Timestamp {
         self.consumed += count as u64;
         while self
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one client: its states, and how much of its input is read.
+//! The state machine of one client connection, and its limits on input.
 
 use tidescale_policy::types::RequestId;
 
@@ -8,48 +8,48 @@
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
-/// Bytes read ahead while a request is pending. Also the most bytes of responses that may wait for
-/// a client that sends requests without reading.
+/// Bytes read ahead while a request is pending. Also the limit on unwritten output, at which no
+/// further message of a client that sends without reading is handled.
 const READ_AHEAD: usize = SIZE;
-/// Bytes read ahead while many buffers are free. The time of a request starts when it is read, so
-/// that reading early measures it more exactly.
+/// Bytes read ahead while more than half of the buffers are free. A request's time limit counts
+/// from when it is read, so that reading early measures its arrival more precisely.
 const EXTENDED_READ_AHEAD: usize = 16 * SIZE;
-/// Bytes discarded after an error without waiting for readiness. Closing a socket with unread input
-/// resets the connection, and the client could not read the error.
+/// Bytes discarded after an error without waiting for another readiness event. Closing a socket
+/// with unread input resets the connection, and the client could not read the error.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Bytes discarded in one event-loop iteration.
+/// Limit on the bytes discarded in one event-loop iteration.
 const DISCARDED_BYTES_PER_ITERATION: usize = MAX_DISCARDED_BYTES / 4;
 
-/// The state of a client's connection.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// The startup message was not received yet.
+    /// Waits for the startup message.
     Opening {
-        /// It was accepted after SIGTERM, so that shutdown waits for its first request.
+        /// Accepted after SIGTERM, so that the shutdown waits for its first request.
         accepted_in_shutdown: bool,
     },
-    /// Open; no message was received since.
+    /// The startup is complete; no message was received since.
     AwaitingFirstRequest {
-        /// As for `Opening`.
+        /// As in `Opening`.
         accepted_in_shutdown: bool,
     },
-    /// Open; the next message is handled.
+    /// Between requests; the next message is handled.
     Idle,
-    /// An extended query was refused: all messages up to its Sync are skipped.
+    /// An extended query was rejected; its remaining messages up to Sync are skipped.
     SkippingToSync,
-    /// The next message is handled once the pending request has its response.
+    /// Waits for the response to a request; later messages are handled after that.
     AwaitingResponse {
-        /// The pending request.
+        /// The request.
         request: RequestId,
     },
-    /// Closes once all output is written; input is discarded.
+    /// Closes once the output is written and the client has finished sending. Input is discarded.
     Closing {
         /// Bytes discarded so far.
         discarded: usize,
     },
 }
 
-/// The connection of one client.
+/// One client connection.
 pub(super) struct ClientConnection {
     pub(super) connection: Connection,
     pub(super) state: ClientState,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Its stage, which follows from its state and its buffers.
+    /// The stage, derived from the state and the buffers.
     pub(super) fn stage(&self) -> Stage {
         let has_unwritten = !self.connection.output.is_empty();
         let has_unused = !self.connection.input.is_empty();
@@ -86,7 +86,7 @@
         matches!(self.state, ClientState::Closing { .. })
     }
 
-    /// The request whose response it waits for.
+    /// The request whose response the client waits for.
     pub(super) fn pending_request(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse { request } => Some(request),
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Shutdown may close it now: it is between requests, and was not accepted after SIGTERM for a
-    /// first request.
+    /// Whether the shutdown may close the connection: it is between requests, and does not wait for
+    /// its first request after being accepted during the shutdown.
     pub(super) fn is_done_at_shutdown(&self) -> bool {
         match self.stage() {
             Stage::Idle => true,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Whether its next message may be handled. The limit on output keeps the responses of a client
-    /// that sends without reading from piling up.
+    /// Whether the next message may be handled. The limit on output bounds the memory used by a
+    /// client that sends requests without reading responses.
     pub(super) fn accepts_messages(&self) -> bool {
         let is_awaiting = self.pending_request().is_some();
         !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD
@@ -123,14 +123,14 @@
         )
     }
 
-    /// There may be another message to handle.
+    /// Whether there may be another message to handle.
     pub(super) fn may_have_message(&self) -> bool {
         let next = || complete_frame::<ClientMessage>(&self.connection.input);
         self.connection.has_more() || self.is_open() && next() != Ok(None)
     }
 
-    /// How many bytes of input are needed to handle the next message. Behind a pending request only
-    /// the start of the next message is read.
+    /// The number of input bytes to read: the complete next message if it can be handled, otherwise
+    /// only the read-ahead.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_ample() {
             EXTENDED_READ_AHEAD
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Sends the reason why the connection ends. It closes once the client has read that.
+    /// Sends a fatal error and starts to close the connection. It stays open until the client has
+    /// read the error.
     pub(super) fn close_with_error(&mut self, code: &str, reason: &str) {
         let Connection { input, output, .. } = &mut self.connection;
         postgres::put_error(output, Severity::Fatal, code, reason, "");
@@ -154,7 +155,8 @@
         self.state = ClientState::Closing { discarded: 0 };
     }
 
-    /// Discards the input of a closing connection. Returns whether the connection may be closed.
+    /// Discards the input of a closing connection. Returns whether the client has finished sending,
+    /// so that the connection can be closed.
     pub(super) fn discard_input(&mut self) -> bool {
         if !self.connection.output.is_empty() {
             return false;
@@ -162,7 +164,7 @@
         let ClientState::Closing { discarded } = &mut self.state else {
             return false;
         };
-        // Beyond the limit, another part is discarded each time the event loop reports more.
+        // Beyond the total limit, each readiness event discards one more part.
         let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded) {
             Some(remaining) => remaining.min(DISCARDED_BYTES_PER_ITERATION),
             None => DISCARDED_BYTES_PER_ITERATION,
@@ -172,7 +174,7 @@
         result.ended
     }
 
-    /// There is more to discard without waiting for a report of the event loop.
+    /// Whether there is more to discard without waiting for a readiness event.
     pub(super) fn has_more_to_discard(&self) -> bool {
         let is_within_limit = match self.state {
             ClientState::Closing { discarded } => discarded < MAX_DISCARDED_BYTES,
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a connection after each time it was served: its stage, its time limit and its end.
+//! The lifecycle of a connection: its stage after it was served, its timeout, and closing it.
 
 use slog::debug;
 use tidescale_policy::Balancer;
@@ -13,7 +13,8 @@
 use crate::postgres::sqlstate;
 
 impl Clients {
-    /// Writes pending output, closes the connection if it is done, and records its stage.
+    /// Writes pending output, and closes the connection or records its stage. Then closes the
+    /// longest idle connections beyond the limit.
     pub(super) fn finish_serving(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         let Some(client) = self.connections.get_mut(key) else {
             return;
@@ -21,7 +22,7 @@
         if client.connection.flush().is_err() {
             return self.close(key, context);
         }
-        // A client that has sent something since has a request in transit.
+        // With unread input, the connection is served again: the input may be a request.
         let is_done = self.is_shutting_down && client.is_done_at_shutdown();
         if is_done && client.connection.is_silent() {
             return self.close(key, context);
@@ -30,7 +31,7 @@
         if stage == Stage::Closing && client.connection.output.is_empty() {
             client.connection.end_sending();
         }
-        // A starved connection is served again once buffers are free.
+        // A connection in `starved` is served again once buffers are free.
         let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
         if has_input_to_handle(client, stage) && !is_starved() {
             self.to_serve.push(key);
@@ -39,21 +40,21 @@
         while self.stages.idle_count() > self.max_idle && self.close_longest_idle(context) {}
     }
 
-    /// Records the stage of a connection, and sets its time limit if the stage has changed.
+    /// Records the stage of a connection, and restarts its timeout if the stage has changed.
     pub(super) fn set_stage(&mut self, key: ClientKey, stage: Stage, context: &mut IoContext) {
         if !self.stages.record(key, stage, context.now) {
             return;
         }
         let owner = Owner::client(key);
         match stage.timeout() {
-            Some(limit) => context.deadlines.set(owner, context.now + limit),
+            Some(timeout) => context.deadlines.set(owner, context.now + timeout),
             None => context.deadlines.clear(owner),
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one. Some
-    /// clients send one request and never close their connection; without this limit they would
-    /// hold all descriptors.
+    /// Closes the connection that has been idle for longest. Returns whether one could be closed.
+    /// Without the limit on idle connections, clients that send one request and never close their
+    /// connection would use up all file descriptors.
     fn close_longest_idle(&mut self, context: &mut EventContext<'_>) -> bool {
         let has_sent_nothing = |key: &ClientKey| {
             self.connections
@@ -73,9 +74,9 @@
         true
     }
 
-    /// The time limit of a connection's stage has expired.
+    /// Handles the expired deadline of a connection.
     pub fn on_deadline(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
-        // If the process was stalled, what the connection waits for may have been received already.
+        // If the process was stalled, what the connection waits for may be available already.
         self.serve(key, context);
         let Some(client) = self.connections.get(key) else {
             return;
@@ -91,8 +92,8 @@
             return context.io.deadlines.set(owner, deadline);
         }
         if entry.stage != Stage::Closing && !client.connection.is_silent() {
-            // Received bytes were not read, for lack of buffers or because of the limit on reads:
-            // they may hold a whole request.
+            // Bytes are unread, because no buffer was free or because of the limit on reads: they
+            // may hold a complete request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             return context.io.deadlines.set(owner, retry_at);
         }
@@ -105,15 +106,15 @@
         self.finish_serving(key, context);
     }
 
-    /// Sends an error after which the connection closes.
+    /// Sends a fatal error and starts to close the connection.
     pub(super) fn close_with_error(&mut self, key: ClientKey, code: &str, reason: &str) {
         if let Some(client) = self.connections.get_mut(key) {
             client.close_with_error(code, reason);
         }
     }
 
-    /// Closes the connection of the client that waits for the response to a request if the client
-    /// has disconnected, even if the event loop has not reported that yet.
+    /// Checks whether the client that waits for the response to a request has disconnected, even if
+    /// the event loop has not reported that yet. If so, closes the connection.
     pub fn close_if_disconnected(&mut self, id: RequestId, context: &mut EventContext<'_>) {
         let waiting = self.requests.get_mut(id).and_then(|pending| pending.client);
         let Some(key) = waiting else {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Closes a connection; the policy learns that the client no longer waits for its pending
-    /// request.
+    /// Closes a connection. If it has a pending request, notifies the policy that the client no
+    /// longer waits for the response.
     pub(super) fn close(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         context.io.deadlines.clear(Owner::client(key));
         let Some(client) = self.connections.remove(key) else {
@@ -149,33 +150,33 @@
         }
     }
 
-    /// Closes a connection whose handler has panicked.
+    /// Closes a connection after a panic in its handler.
     pub fn close_after_panic(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         self.close(key, context);
     }
 }
 
-/// There is input that can be handled without a report of the event loop.
+/// Whether there is input to handle without waiting for a readiness event.
 fn has_input_to_handle(client: &ClientConnection, stage: Stage) -> bool {
     if stage == Stage::Closing {
-        // Input beyond the limit is discarded only when the event loop reports more.
+        // Input beyond the limit is discarded only on a readiness event.
         return client.has_more_to_discard();
     }
     client.accepts_messages() && client.may_have_message()
 }
 
-/// When the time limit of a connection's stage expires; `None` if the stage has none.
+/// When the timeout of a connection's stage expires; `None` if the stage has no timeout.
 fn stage_deadline(
     client: &ClientConnection,
     entry: StageEntry,
     now: Timestamp,
 ) -> Option<Timestamp> {
-    let limit = entry.stage.timeout()?;
-    // A client that waits for a response is kept until it disconnects.
+    let timeout = entry.stage.timeout()?;
+    // A connection with a pending request stays open until the client disconnects.
     let is_awaiting = client.pending_request().is_some();
     if entry.stage == Stage::Writing && is_awaiting {
         Some(now + WRITE_TIMEOUT)
     } else {
-        Some(entry.since + limit)
+        Some(entry.since + timeout)
     }
 }
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -1,4 +1,4 @@
-//! Handling one message of a client, as far as that needs nothing but its connection.
+//! Handling one message of a client, with the state of its own connection only.
 
 use std::ops::Range;
 
@@ -13,19 +13,19 @@
 
 /// The result of handling the next message.
 pub(super) enum MessageResult {
-    /// It was not received completely.
+    /// The message was not received completely.
     Incomplete,
-    /// It was handled.
+    /// The message was handled.
     Handled,
-    /// It is a query; its body was copied.
+    /// The message is a query, which the caller handles; its body was copied.
     Query {
-        /// When its last byte was received.
+        /// When the last byte of the message was received.
         arrived_at: Timestamp,
     },
 }
 
 impl ClientConnection {
-    /// Handles the next message if it is complete; `body` holds its body afterwards.
+    /// Handles the next message if it is complete, and copies its body to `body`.
     ///
     /// # Errors
     /// The input is not a valid message.
@@ -106,15 +106,15 @@
                     accepted_in_shutdown,
                 };
             }
-            // Encryption is refused; the client may continue without it.
+            // Declines encryption; the client may continue without it.
             StartupKind::Encryption => self.connection.output.push(b"N"),
             StartupKind::Cancel => self.state = ClientState::Closing { discarded: 0 },
         }
         Ok(MessageResult::Handled)
     }
 
-    /// Removes a message from the input and copies its body, which is at `range`. Returns when its
-    /// last byte was received.
+    /// Removes the message that ends at the end of `range` from the input, and copies its body, at
+    /// `range`, to `body`. Returns when the last byte of the message was received.
     fn take_body(&mut self, range: Range<usize>, body: &mut Vec<u8>, now: Timestamp) -> Timestamp {
         let length = range.end;
         let input = &mut self.connection.input;
@@ -124,14 +124,14 @@
         self.arrivals.consume(length, now)
     }
 
-    /// Answers a query without a statement.
+    /// Responds to a query without a statement.
     pub(super) fn answer_empty_query(&mut self) {
         let output = &mut self.connection.output;
         postgres::put_empty_query_response(output);
         postgres::put_ready_for_query(output);
     }
 
-    /// Tells the client why its statement cannot be served; the connection stays open.
+    /// Responds with the reason why the statement is rejected. The connection stays open.
     pub(super) fn reject_statement(&mut self, reason: &str) {
         let output = &mut self.connection.output;
         let code = sqlstate::SYNTAX_ERROR;
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -1,4 +1,5 @@
-//! Requests whose client waits for a response or that have an attempt in flight. No I/O.
+//! The table of requests whose client waits for a response or that have an attempt in flight. No
+//! I/O.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,25 +10,26 @@
 use crate::ids::{ClientKey, EndpointConnectionKey};
 use crate::slots::Slots;
 
-/// A request, from its arrival until its client was answered or has disconnected and its last
-/// attempt has ended.
+/// A request from its arrival until its last attempt has ended and its client was answered or has
+/// disconnected.
 pub struct PendingRequest {
-    /// The client that waits for the response; none once it was answered or has disconnected.
+    /// The client that waits for the response; `None` once it was answered or has disconnected.
     pub(super) client: Option<ClientKey>,
-    /// The id that the client gave the request.
+    /// The request id in the client's statement.
     pub(super) client_request_id: String,
-    /// It may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub is_repeatable: bool,
-    /// The statement of the client.
+    /// The client's statement.
     pub statement: Chain,
-    /// Position of the digits of the client's time limit in the statement.
+    /// The byte range of the time limit's digits in the statement.
     pub time_limit_range: Range<usize>,
-    /// For each attempt, by its index, the connection that it is in flight on.
+    /// The connection that each attempt is in flight on, by the index of the attempt; `None` if it
+    /// is not in flight.
     pub attempts: Vec<Option<EndpointConnectionKey>>,
 }
 
 impl PendingRequest {
-    /// The connection that an attempt is in flight on.
+    /// Returns the connection that an attempt is in flight on.
     pub fn attempt_connection(&self, id: AttemptId) -> Option<EndpointConnectionKey> {
         self.attempts.get(id.index.get()).copied().flatten()
     }
@@ -37,15 +39,15 @@
     }
 }
 
-/// All pending requests. No two of them have the same id from their clients.
+/// All pending requests. Their client request ids are unique.
 pub(super) struct PendingRequests {
     requests: Slots<PendingRequest, RequestId>,
     client_request_ids: BTreeSet<String>,
 }
 
 impl PendingRequests {
-    /// The table needs no limit of its own: each connection of a client has at most one unanswered
-    /// request.
+    /// Creates an empty table. It needs no limit of its own: each client connection has at most one
+    /// unanswered request.
     pub(super) fn new() -> PendingRequests {
         PendingRequests {
             requests: Slots::new(usize::MAX),
@@ -61,7 +63,7 @@
         self.client_request_ids.contains(client_request_id)
     }
 
-    /// Adds a request with an id that no other pending request has.
+    /// Adds a request. The caller has checked that no pending request has its client request id.
     pub(super) fn insert(&mut self, request: PendingRequest) -> Option<RequestId> {
         self.client_request_ids
             .insert(request.client_request_id.clone());
@@ -74,14 +76,14 @@
         self.requests.get_mut(id)
     }
 
-    /// Whether a client waits for the response.
+    /// Whether a client still waits for the response.
     pub(super) fn is_waiting(&self, id: RequestId) -> bool {
         self.requests
             .get(id)
             .is_some_and(|request| request.client.is_some())
     }
 
-    /// Removes the client from a request and returns it: it no longer waits for the response.
+    /// Removes and returns the client that waits for the response.
     pub(super) fn take_client(&mut self, id: RequestId) -> Option<ClientKey> {
         self.requests.get_mut(id)?.client.take()
     }
@@ -98,7 +100,7 @@
         self.remove_if_finished(id.request);
     }
 
-    /// Removes a request that no client waits for and that has no attempt in flight.
+    /// Removes a request if no client waits for it and it has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .requests
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from the connections of clients and handling what was received.
+//! Reading from client connections and handling received messages.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -13,11 +13,12 @@
 use crate::log_lines;
 use crate::postgres::{self, ProtocolError, sqlstate};
 
-/// Most reads from one connection in one event-loop iteration, so that others are served too.
+/// Maximum number of reads from one connection in one event-loop iteration, so that other
+/// connections are served too.
 const MAX_READS_PER_ITERATION: usize = 4;
 
 impl Clients {
-    /// Reads what a client has sent and passes its requests to the policy.
+    /// Reads from a connection and passes its requests to the policy.
     pub fn serve(&mut self, key: ClientKey, context: &mut EventContext<'_>) {
         for _ in 0..MAX_READS_PER_ITERATION {
             if self.serve_once(key, context).is_break() {
@@ -27,7 +28,7 @@
         self.finish_serving(key, context);
     }
 
-    /// Reads once and handles what was received. Continues if there may be more to read.
+    /// Reads once and handles the received messages. Continues if there may be more to read.
     fn serve_once(&mut self, key: ClientKey, context: &mut EventContext<'_>) -> ControlFlow<()> {
         self.flush_before_read(key, context)?;
         let Ok(fill) = self.read(key, context.io) else {
@@ -53,9 +54,9 @@
         }
     }
 
-    /// Writes pending output. Continues if the connection is to be read. A disconnected client is
-    /// not read, because it reads no response either; the input of a closing connection is
-    /// discarded.
+    /// Writes pending output, and continues if the connection is to be read. If writing fails, the
+    /// client cannot receive a response, and the connection closes without a read. The input of a
+    /// closing connection is discarded.
     fn flush_before_read(
         &mut self,
         key: ClientKey,
@@ -77,7 +78,7 @@
         ControlFlow::Break(())
     }
 
-    /// Reads what a client has sent; the end of its stream is an error.
+    /// Reads from a connection; the end of the stream is an error.
     fn read(&mut self, key: ClientKey, context: &IoContext) -> io::Result<Fill> {
         let Some(client) = self.connections.get_mut(key) else {
             return Err(io::ErrorKind::NotFound.into());
@@ -89,7 +90,7 @@
         client.arrivals.record(count, context.now);
         match read? {
             Fill::Ended => Err(io::ErrorKind::UnexpectedEof.into()),
-            // The end of the stream may be behind more bytes than are read ahead.
+            // The read stopped at the read-ahead limit, before the end of the stream.
             Fill::Enough if client.connection.has_hung_up() => {
                 Err(io::ErrorKind::UnexpectedEof.into())
             }
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Refuses the connection that has held buffers for an incomplete message for longest.
+    /// Closes the connection that has held buffers for an incomplete message for longest, except
+    /// `starved`.
     fn free_buffers(&mut self, starved: ClientKey, context: &mut EventContext<'_>) {
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
@@ -106,14 +108,14 @@
             .find(|key| *key != starved);
         if let Some(key) = longest {
             log_lines::client_buffers_exhausted(&context.io.log);
-            // The rest of the message may be unread: the client must know that it was not executed.
+            // Tells the client that its message, of which the rest may be unread, was not executed.
             let code = sqlstate::TOO_MANY_CONNECTIONS;
             self.close_with_error(key, code, "too many unfinished messages");
             self.finish_serving(key, context);
         }
     }
 
-    /// Handles messages in their order up to the next request, which has to be answered first.
+    /// Handles messages in order, up to a request that has to be answered before the next message.
     fn handle_messages(
         &mut self,
         key: ClientKey,
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Validating the statements of clients and passing the requests in them to the policy.
+//! Validating client statements and passing their requests to the policy.
 
 use thiserror::Error;
 use tidescale_policy::settings::Idempotency;
@@ -14,9 +14,9 @@
 use crate::postgres::statement::StatementError;
 use crate::postgres::{self, ClientStatement};
 
-/// Why a statement of a client cannot be served.
+/// Why a client statement is rejected.
 ///
-/// The text is sent to the client, so that changing it changes the wire format.
+/// The texts are part of the wire format: they are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum RequestError {
     #[error(transparent)]
@@ -25,7 +25,7 @@
     UnknownRoute,
     #[error("no key")]
     MissingKey,
-    /// Two clients would wait for the response to the same id.
+    /// Another pending request has the same id.
     #[error("the id of an open req")]
     IdInUse,
 }
@@ -38,7 +38,7 @@
     pub(super) arrived_at: Timestamp,
 }
 
-/// A statement that can be served.
+/// A validated statement.
 struct ValidStatement<'a> {
     text: &'a str,
     statement: ClientStatement<'a>,
@@ -62,7 +62,8 @@
 }
 
 impl Clients {
-    /// Passes the request of a client to the policy, or tells the client why it cannot be served.
+    /// Passes the request in a query to the policy, or responds with the reason why the statement
+    /// is rejected.
     pub(super) fn handle_query(
         &mut self,
         key: ClientKey,
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients. Their texts and codes are part of the wire format.
+//! Sending responses to clients. Their texts and codes are part of the wire format.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::buffers::Chain;
 use crate::postgres::{self, Severity, sqlstate};
 
-/// The unit in which a client is sent the time until it may retry; a shorter time is not sent.
+/// The unit of the retry delay that is sent to clients; a shorter delay is not sent.
 const RETRY_AFTER_UNIT: Duration = Duration::from_millis(1);
 
 impl Clients {
-    /// Forwards the response of an endpoint.
+    /// Forwards the response of an endpoint to the client.
     pub fn complete_request(&mut self, id: RequestId, response: &mut Chain) {
         self.respond(id, |output| response.pass(response.len(), output));
     }
 
-    /// An endpoint has found the request itself invalid.
+    /// Responds that an endpoint has rejected the request as invalid.
     pub fn answer_invalid_request(&mut self, id: RequestId) {
         self.respond(id, |output| {
             let (code, message) = (sqlstate::SYNTAX_ERROR, "a machine turned it down");
@@ -26,8 +26,8 @@
         });
     }
 
-    /// Tells the client that it may send its request again, and when it may retry unless that is
-    /// less than a millisecond.
+    /// Responds that the client may retry its request, after `retry_after` if that is at least a
+    /// millisecond.
     pub fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
         let detail = if retry_after >= RETRY_AFTER_UNIT {
             retry_after.as_millis().to_string()
@@ -40,7 +40,7 @@
         });
     }
 
-    /// Tells the client that its request has failed and may have been executed.
+    /// Responds that the request has failed and may have been executed.
     pub fn fail_request(&mut self, id: RequestId) {
         self.respond(id, |output| {
             let (code, message) = (sqlstate::SYSTEM_ERROR, "not completed");
@@ -48,7 +48,7 @@
         });
     }
 
-    /// Writes the whole response to a request, if its client still waits for one.
+    /// Writes a complete response, if the client still waits for it.
     fn respond(&mut self, id: RequestId, write: impl FnOnce(&mut Chain)) {
         let Some(key) = self.requests.take_client(id) else {
             return;
@@ -57,7 +57,7 @@
             client.state = ClientState::Idle;
             write(&mut client.connection.output);
             postgres::put_ready_for_query(&mut client.connection.output);
-            // An error is found when the connection is served in the next iteration.
+            // A write error is handled when the connection is served in the next iteration.
             let _ = client.connection.flush();
             self.to_serve.push(key);
         }
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -1,5 +1,5 @@
-//! What each connection waits for and since when, in the order in which connections are closed to
-//! free resources. No I/O.
+//! The stage of each connection, its timeout, and the order in which connections are closed to free
+//! resources. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,39 +8,40 @@
 
 use crate::ids::{ClientKey, SlotKey};
 
-/// How long a connection stays open after an error, so that the client can read it.
+/// Timeout for the client to read a fatal error before the connection closes.
 const CLOSING_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time limit for the startup message, and again for the first request.
+/// Timeout for the startup message, and again for the first request.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time limit between requests. Clients hold a limited number of connections, too.
+/// Timeout between requests. A client's own number of connections is limited, too, and idle ones
+/// count towards it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Time limit from the first byte of a message to its last.
+/// Timeout from the first byte of a message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2400);
-/// A client that reads nothing of its response for this long counts as disconnected.
+/// Timeout for the client to read its responses; after that it counts as disconnected.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// What a connection waits for, in the order of eviction: connections in earlier stages are closed
-/// first.
+/// What a connection waits for. The variants are in eviction order: connections in earlier stages
+/// are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// The client has to read an error before the connection closes.
+    /// The client to read a fatal error, after which the connection closes.
     Closing,
     /// The startup message.
     Opening,
-    /// The first message after the startup.
+    /// The first message after the startup message.
     AwaitingFirstRequest,
     /// The next request.
     Idle,
     /// The rest of an incomplete message, which may be in transit.
     ReceivingMessage,
-    /// The client has to read responses.
+    /// The client to read its responses.
     Writing,
     /// The response to the pending request.
     AwaitingResponse,
 }
 
 impl Stage {
-    /// How long a connection may stay in the stage; `None` if the client cannot end it.
+    /// How long a connection may stay in the stage; `None` if the client cannot end the stage.
     pub const fn timeout(self) -> Option<Duration> {
         match self {
             Stage::Closing => Some(CLOSING_TIMEOUT),
@@ -53,7 +54,8 @@
     }
 }
 
-/// The stage of a connection. Entries are ordered by stage, then time, then connection.
+/// The stage of a connection and when it began. Entries are ordered by stage, then time, then
+/// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StageEntry {
     /// The stage.
@@ -64,7 +66,7 @@
     pub connection: ClientKey,
 }
 
-/// All connections by stage and time.
+/// An index of all connections by stage and time.
 ///
 /// Invariants: each connection has at most one entry, which is in both maps; `idle_count` is the
 /// number of entries in [`Stage::Idle`]. An entry holds the stage recorded last, which may
@@ -77,8 +79,8 @@
 }
 
 impl ConnectionsByStage {
-    /// Records the stage of a connection. Returns whether it differs from the previous one; only
-    /// then the time in the stage starts at `now`.
+    /// Records the stage of a connection. Returns whether it differs from the previous one; if so,
+    /// the time in the stage starts at `now`.
     pub fn record(&mut self, connection: ClientKey, stage: Stage, now: Timestamp) -> bool {
         if self
             .get(connection)
@@ -106,19 +108,19 @@
         }
     }
 
-    /// The entry of a connection.
+    /// Returns the entry of a connection.
     pub fn get(&self, connection: ClientKey) -> Option<StageEntry> {
         self.by_connection.get(&connection).copied()
     }
 
-    /// Number of connections in [`Stage::Idle`].
+    /// The number of connections in [`Stage::Idle`].
     pub fn idle_count(&self) -> usize {
         self.idle_count
     }
 
-    /// Connections that may be closed for another one, the first to close first: those that close
-    /// anyway, then those without a pending request that have been in their stage since `latest` or
-    /// longer.
+    /// Connections that may be closed to make room for another one, in eviction order: those that
+    /// are closing already, then those without a pending request that entered their stage at or
+    /// before `latest`.
     pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = StageEntry> {
         self.in_order
             .iter()
@@ -127,7 +129,7 @@
             .copied()
     }
 
-    /// Connections that entered a stage before a time, the earliest first.
+    /// Connections that are in a stage and entered it before a time, the earliest first.
     pub fn entered_stage_before(
         &self,
         stage: Stage,
