--- a/crates/proxy/src/postgres.rs
+++ b/crates/proxy/src/postgres.rs
@@ -1,15 +1,15 @@
 //! The part of PostgreSQL's frontend/backend protocol, version 3, that simple queries need. No I/O.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`framing`] | finding the start, the end and the kind of each message |
+//! | [`framing`] | determining the kind and the length of each message |
 //! | [`messages`] | decoding the bodies of messages |
-//! | [`statement`] | parsing the only form of statement that clients may send |
+//! | [`statement`] | parsing the only statements that clients may send |
 //! | [`encoding`] | encoding the messages that the proxy sends |
 //! | [`sqlstate`] | error codes |
 //!
-//! Decoders accept any bytes without a panic. They refuse a message by its head if its kind or
-//! length is invalid.
+//! Decoders accept any input without a panic. A message of an invalid kind or length is rejected as
+//! soon as its header is received.
 
 pub mod encoding;
 pub mod framing;
@@ -35,7 +35,7 @@
 
 /// Why a message is invalid.
 ///
-/// The text is sent to the client, so that changing it changes the wire format.
+/// The texts are part of the wire format: they are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// The length of a startup message is out of bounds.
@@ -44,43 +44,43 @@
     /// A startup message requests an unknown protocol version.
     #[error("an unknown protocol version")]
     UnknownVersion,
-    /// The parameters of a startup message are not terminated at its end.
+    /// The list of parameters in a startup message is not terminated exactly at its end.
     #[error("a startup message without its end")]
     UnterminatedStartup,
-    /// A startup message without a user.
+    /// A startup message does not name a user.
     #[error("no user")]
     NoUser,
-    /// A message of a type that this side of a connection does not send.
+    /// A message of a type that the peer may not send.
     #[error("an unknown kind of message")]
     UnknownMessage,
-    /// The length of a message is out of the bounds of its type.
+    /// The length of a message is out of bounds for its type.
     #[error("a message of impossible length")]
     MessageLength,
-    /// The body of a query is not one terminated text.
+    /// The body of a query is not exactly one null-terminated string.
     #[error("a query without its end")]
     UnterminatedQuery,
-    /// A field of an error response is not terminated.
+    /// A field of an error response is not null-terminated.
     #[error("a field without its end")]
     UnterminatedField,
-    /// An error response without an SQLSTATE.
+    /// An error response has no SQLSTATE.
     #[error("an error without a code")]
     ErrorWithoutCode,
-    /// A parameter status is not two terminated texts.
+    /// A ParameterStatus does not start with two null-terminated strings.
     #[error("a parameter without its end")]
     UnterminatedParameter,
-    /// A data row without exactly one value.
+    /// A DataRow does not have exactly one value.
     #[error("not a row of one column")]
     DataRow,
-    /// A row description without exactly one column.
+    /// A RowDescription does not have exactly one column.
     #[error("not the description of one column")]
     RowDescription,
-    /// A command completion for another number of rows than one.
+    /// A CommandComplete is not for exactly one row.
     #[error("not the end of one row")]
     CommandComplete,
-    /// The peer requests a password.
+    /// The endpoint requests authentication.
     #[error("asked for a password")]
     PasswordRequested,
-    /// The peer is in a transaction.
+    /// The endpoint reports an open transaction.
     #[error("not ready after an answer")]
     NotReady,
 }
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -1,5 +1,4 @@
-//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their
-//! server.
+//! Encoding the messages that the proxy sends, as a client to endpoints and as a server to clients.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,17 +6,17 @@
 use super::framing::PROTOCOL_VERSION;
 use crate::buffers::Chain;
 
-/// The user and the database that the proxy names to endpoints.
+/// The parameters of the startup message to endpoints.
 pub const STARTUP_PARAMETERS: [(&str, &str); 2] = [("user", "portal"), ("database", "crm")];
 
-/// The settings of the server that are sent to each client.
+/// The server parameters that are reported to each client.
 const SERVER_PARAMETERS: [(&str, &str); 3] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
 ];
 
-/// Whether an error ends the connection.
+/// The severity of an error response, which determines whether the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The connection stays open.
@@ -35,7 +34,7 @@
     }
 }
 
-/// Writes one message; its body is given in parts.
+/// Writes one message with the concatenation of `body` as its body.
 fn put_message(out: &mut Chain, type_byte: u8, body: &[&[u8]]) {
     let length = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(&[type_byte]);
@@ -83,7 +82,8 @@
     put_message(out, b'Q', &body);
 }
 
-/// Writes the messages that accept a client.
+/// Writes the response to a startup message: `AuthenticationOk`, the server parameters, and
+/// ReadyForQuery.
 pub fn put_startup_response(out: &mut Chain) {
     put_message(out, b'R', &[&[0; 4]]);
     for (name, value) in SERVER_PARAMETERS {
@@ -92,17 +92,17 @@
     put_ready_for_query(out);
 }
 
-/// Writes ReadyForQuery: the next query is accepted.
+/// Writes ReadyForQuery with the status "not in a transaction".
 pub fn put_ready_for_query(out: &mut Chain) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Writes the response to a query without a statement.
+/// Writes `EmptyQueryResponse`, in response to a query without a statement.
 pub fn put_empty_query_response(out: &mut Chain) {
     put_message(out, b'I', &[]);
 }
 
-/// Writes an error response; an empty `detail` is omitted.
+/// Writes an ErrorResponse; an empty `detail` is omitted.
 pub fn put_error(out: &mut Chain, severity: Severity, code: &str, message: &str, detail: &str) {
     let fields = [
         (b'S', severity.as_str()),
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -1,64 +1,64 @@
-//! Finds the start, the end and the kind of each message.
+//! Determining the kind and the length of each message.
 //!
-//! Each kind has a maximum length, so that a message that is too long is refused after its first
-//! five bytes.
+//! Each kind has a maximum length, so that a message that is too long is rejected as soon as its
+//! header is received.
 
 use super::ProtocolError;
 use crate::buffers::Chain;
 
-/// Protocol 3.0 in a startup message.
+/// The code of protocol version 3.0 in a startup message.
 pub const PROTOCOL_VERSION: u32 = 196_608;
-/// The codes in place of the version, in requests other than a startup.
+/// The codes that replace the protocol version in other requests at the start of a connection.
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
 
-/// Bytes before the body of a startup message: the length and the protocol version.
+/// Size of the header of a startup message: the length and the protocol version.
 pub const STARTUP_HEADER_SIZE: usize = 8;
-/// Bytes before the body of any other message: the type and the length.
+/// Size of the header of any other message: the type and the length.
 pub const MESSAGE_HEADER_SIZE: usize = 5;
-/// Bytes of the length field, which the length of a message includes.
+/// Size of the length field, which is included in the length of a message.
 const LENGTH_FIELD_SIZE: usize = 4;
 
-/// The longest startup message, as in PostgreSQL.
+/// Maximum length of a startup message, as in PostgreSQL.
 const MAX_STARTUP_LENGTH: usize = 10_000;
-/// The longest value that clients write, in bytes.
+/// Maximum length of a value that clients write, in bytes.
 pub const MAX_VALUE_LENGTH: usize = 64 * 1024;
-/// Bytes in a query for the statement around a value.
+/// Maximum length of the part of a statement that is not the value.
 const MAX_STATEMENT_OVERHEAD: usize = 4096;
-/// The longest body of a query: a value in hexadecimal, and the statement around it.
+/// Maximum length of the body of a query: a value in hexadecimal, and the rest of the statement.
 const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + MAX_STATEMENT_OVERHEAD;
-/// The longest body of a data row; endpoints return values of some hundred kilobytes.
+/// Maximum length of the body of a data row; endpoints return values of some hundred kilobytes.
 pub const MAX_DATA_ROW_BODY: usize = 1024 * 1024;
-/// The longest body of a message with neither a statement nor a value.
+/// Maximum length of the body of a message with neither a statement nor a value.
 const MAX_OTHER_BODY: usize = 8 * 1024;
 
-/// The kinds of messages that one side of a connection sends after the startup.
+/// The kinds of messages that one side of a connection sends after the startup message.
 pub trait MessageKind: Copy {
-    /// The kind with this type byte; `None` if this side sends no such message.
+    /// The kind with a type byte; `None` if this side may not send such a message.
     fn from_type_byte(byte: u8) -> Option<Self>;
-    /// The longest body, in bytes.
+    /// Maximum length of the body, in bytes.
     fn max_body(self) -> usize;
 }
 
-/// The messages of a client after the startup.
+/// The messages of a client after the startup message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientMessage {
     /// A simple query.
     Query,
     /// Parse, Bind, Describe, Execute or Close: a part of an extended query.
     ExtendedQuery,
-    /// The end of an extended query.
+    /// Ends an extended query.
     Sync,
     /// A function call.
     FunctionCall,
-    /// Requests pending responses; the proxy never holds them back.
+    /// Requests that buffered responses are sent; the proxy never delays responses.
     Flush,
-    /// Part of a copy, which the proxy never starts.
+    /// A part of the data of a COPY operation, which the proxy never starts.
     CopyData,
-    /// The end of a copy.
+    /// The end of a COPY operation.
     CopyDone,
-    /// An aborted copy.
+    /// The failure of a COPY operation.
     CopyFail,
     /// The client closes the connection.
     Terminate,
@@ -98,23 +98,23 @@
 /// The messages of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointMessage {
-    /// Accepts the proxy, or requests a password.
+    /// The result of authentication, or a request for it.
     Authentication,
-    /// A setting, or a load report.
+    /// A server parameter, or a load report.
     ParameterStatus,
-    /// The key for cancel requests.
+    /// The key for requests to cancel a query.
     BackendKeyData,
-    /// A warning.
+    /// A notice or warning.
     Notice,
-    /// First part of a response.
+    /// The first part of a response.
     RowDescription,
-    /// Second part of a response.
+    /// The second part of a response.
     DataRow,
-    /// Last part of a response.
+    /// The last part of a response.
     CommandComplete,
-    /// An error in place of a response.
+    /// An error instead of a result.
     Error,
-    /// The endpoint accepts the next query.
+    /// The endpoint is ready for the next query.
     ReadyForQuery,
 }
 
@@ -151,11 +151,11 @@
 /// The first message of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupKind {
-    /// Opens the connection.
+    /// Starts a session.
     Startup,
     /// Requests an encrypted connection.
     Encryption,
-    /// Cancels a query of another connection.
+    /// Requests that a query on another connection is cancelled.
     Cancel,
 }
 
@@ -164,14 +164,14 @@
 pub struct Frame<K> {
     /// The kind.
     pub kind: K,
-    /// Number of bytes, including the head.
+    /// Length in bytes, including the header.
     pub length: usize,
 }
 
-/// The first message of a connection, once it is complete.
+/// Returns the frame of the first message of a connection, or `None` while it is incomplete.
 ///
 /// # Errors
-/// The message is not a valid first message; found by its head if possible.
+/// The length or the code of the message is invalid, even if the message is incomplete.
 pub fn startup_frame(input: &Chain) -> Result<Option<Frame<StartupKind>>, ProtocolError> {
     let Some(length) = read_u32(input, 0) else {
         return Ok(None);
@@ -192,10 +192,11 @@
     Ok((input.len() >= length).then_some(Frame { kind, length }))
 }
 
-/// The next message as its head announces it, even if its body is incomplete.
+/// Returns the frame of the next message, or `None` while its header is incomplete. The body may be
+/// incomplete.
 ///
 /// # Errors
-/// This side of a connection sends no such kind of message, or the message is too long.
+/// The peer may not send messages of this type, or the length is invalid.
 pub fn frame_header<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
     let Some(byte) = input.slices(0..1).flatten().next() else {
         return Ok(None);
@@ -214,10 +215,10 @@
     }))
 }
 
-/// The next message, once it is complete.
+/// Returns the frame of the next message, or `None` while it is incomplete.
 ///
 /// # Errors
-/// As for [`frame_header`].
+/// See [`frame_header`].
 pub fn complete_frame<K: MessageKind>(input: &Chain) -> Result<Option<Frame<K>>, ProtocolError> {
     let head = frame_header(input)?;
     Ok(head.filter(|frame| input.len() >= frame.length))
--- a/crates/proxy/src/postgres/messages.rs
+++ b/crates/proxy/src/postgres/messages.rs
@@ -1,19 +1,19 @@
-//! Decodes the bodies of messages.
+//! Decoding the bodies of messages.
 
 use super::ProtocolError;
 
-/// A text up to its zero byte, and the bytes after that.
+/// Splits off a null-terminated string; returns the string, and the bytes after the terminator.
 fn split_c_string(body: &[u8]) -> Option<(&str, &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     let (text, rest) = body.split_at(end);
     Some((std::str::from_utf8(text).ok()?, rest.get(1..)?))
 }
 
-/// Whether a startup message names a user. Its body consists of pairs of texts, up to an empty
-/// name.
+/// Whether a startup message names a user. The body is a list of parameter names and values, which
+/// an empty name terminates.
 ///
 /// # Errors
-/// The pairs do not end where the message does.
+/// The list does not end at the end of the body.
 pub fn startup_has_user(mut body: &[u8]) -> Result<bool, ProtocolError> {
     let mut has_user = false;
     loop {
@@ -31,10 +31,10 @@
     }
 }
 
-/// The statement of a query.
+/// Decodes a Query; returns its statement.
 ///
 /// # Errors
-/// The body is not exactly one text with its terminator.
+/// The body is not exactly one null-terminated string.
 pub fn decode_query(body: &[u8]) -> Result<&str, ProtocolError> {
     match split_c_string(body) {
         Some((statement, [])) => Ok(statement),
@@ -45,16 +45,16 @@
 /// The fields of an error response that the proxy uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Its SQLSTATE.
+    /// The SQLSTATE.
     pub code: String,
-    /// Its message; empty if it has none.
+    /// The message; empty if there is none.
     pub message: String,
 }
 
 /// Decodes an ErrorResponse.
 ///
 /// # Errors
-/// A field has no end, or there is no code.
+/// A field is not null-terminated, or there is no SQLSTATE.
 pub fn decode_error_response(mut body: &[u8]) -> Result<ErrorResponse, ProtocolError> {
     let mut code = None;
     let mut message = String::new();
@@ -71,26 +71,26 @@
     Ok(ErrorResponse { code, message })
 }
 
-/// A setting that the peer announces.
+/// A server parameter that the peer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParameterStatus<'a> {
-    /// Which setting.
+    /// The name of the parameter.
     pub name: &'a str,
-    /// Its value.
+    /// The value of the parameter.
     pub value: &'a str,
 }
 
 /// Decodes a ParameterStatus.
 ///
 /// # Errors
-/// The body is not two texts.
+/// The body does not start with two null-terminated strings.
 pub fn decode_parameter_status(body: &[u8]) -> Result<ParameterStatus<'_>, ProtocolError> {
     let (name, rest) = split_c_string(body).ok_or(ProtocolError::UnterminatedParameter)?;
     let (value, _) = split_c_string(rest).ok_or(ProtocolError::UnterminatedParameter)?;
     Ok(ParameterStatus { name, value })
 }
 
-/// The only value of a DataRow.
+/// Decodes a DataRow with one value; returns the value.
 ///
 /// # Errors
 /// There is not exactly one value, or its length does not match the body.
@@ -112,14 +112,14 @@
 /// Checks that a RowDescription has exactly one column.
 ///
 /// # Errors
-/// It does not.
+/// It has another number of columns, or the body is malformed.
 pub fn check_row_description(body: &[u8]) -> Result<(), ProtocolError> {
     let after_name = body
         .strip_prefix(&[0, 1])
         .and_then(split_c_string)
         .map(|(_, rest)| rest);
     match after_name {
-        // Table, column, type, size and modifier; then the format, text or binary.
+        // The table, column, type, size and type modifier; then the format, text or binary.
         Some([_, _, _, _, _, _, _, _, _, _, _, _, _, _, _, _, 0, 0 | 1]) => Ok(()),
         _ => Err(ProtocolError::RowDescription),
     }
@@ -128,7 +128,7 @@
 /// Checks that a CommandComplete is for one row.
 ///
 /// # Errors
-/// It does not.
+/// Its command tag is another one, or the body is malformed.
 pub fn check_command_complete(body: &[u8]) -> Result<(), ProtocolError> {
     match split_c_string(body) {
         Some(("SELECT 1" | "INSERT 0 1" | "SHOW", [])) => Ok(()),
@@ -136,10 +136,10 @@
     }
 }
 
-/// Checks that an authentication message accepts the proxy without a password.
+/// Checks that an authentication message is `AuthenticationOk`.
 ///
 /// # Errors
-/// It requests a password or another authentication.
+/// It requests authentication, for example with a password.
 pub fn check_authentication(body: &[u8]) -> Result<(), ProtocolError> {
     if body == [0, 0, 0, 0] {
         Ok(())
@@ -148,10 +148,10 @@
     }
 }
 
-/// Checks that the peer accepts the next query outside of a transaction.
+/// Checks that a ReadyForQuery reports no open transaction.
 ///
 /// # Errors
-/// It is in a transaction.
+/// It reports a transaction, or the body is malformed.
 pub fn check_ready_for_query(body: &[u8]) -> Result<(), ProtocolError> {
     if body == b"I" {
         Ok(())
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -1,12 +1,13 @@
-//! Parses the only form of statement that clients may send, with the properties of the request in
-//! its comment.
+//! Parsing the only statements that clients may send. A comment at the end of the statement holds
+//! the fields of the request: `id` is its id, `c` the route, `d` the time limit in milliseconds,
+//! and `k` the key that routes with idempotency keys require.
 //!
 //! ```sql
 //! SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */
 //! INSERT INTO facts (code, data) VALUES ('7f3a', '\x9f03') RETURNING data /* id=9b1f,c=order,d=480,k=5c0f */
 //! ```
 //!
-//! A statement in any other form is rejected: endpoints accept only these statements.
+//! Any other statement is rejected, because endpoints accept only these two.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,9 +16,9 @@
 
 use super::framing::MAX_VALUE_LENGTH;
 
-/// The longest code, id or key, in hexadecimal digits.
+/// Maximum length of a code, id or key, in hexadecimal digits.
 const MAX_IDENTIFIER_LENGTH: usize = 64;
-/// The longest time that a client may wait: an hour.
+/// Maximum time limit of a request: one hour.
 const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
 
 const SELECT_BEFORE_CODE: &str = "SELECT data FROM facts WHERE code = '";
@@ -27,21 +28,21 @@
 const INSERT_AFTER_VALUE: &str = "') RETURNING data /* ";
 const COMMENT_END: &str = " */";
 
-/// Why a statement is not in the form that clients use.
+/// Why a statement is invalid.
 ///
-/// The text is sent to the client, so that changing it changes the wire format.
+/// The texts are part of the wire format: they are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// It differs from the form.
+    /// It is none of the supported statements.
     #[error("a statement of another form")]
     UnsupportedForm,
-    /// Its comment has a field twice.
+    /// Its comment has a field more than once.
     #[error("a field given twice")]
     RepeatedField,
     /// Its comment has no id, no route or no time limit.
     #[error("a field is missing")]
     MissingField,
-    /// The time limit is not a number of milliseconds of up to an hour.
+    /// The time limit is not a whole number of milliseconds, or exceeds one hour.
     #[error("not a time")]
     InvalidTimeLimit,
 }
@@ -49,24 +50,25 @@
 /// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClientStatement<'a> {
-    /// The id that the client gave the request.
+    /// The request id that the client has chosen.
     pub request_id: &'a str,
     /// The name of the route.
     pub route: &'a str,
-    /// The code of the fact that it reads or writes.
+    /// The code of the fact that the statement reads or writes.
     pub code: &'a str,
-    /// The key of the client, if it sent one.
+    /// The key, if the client sent one.
     pub key: Option<&'a str>,
     /// How long the client waits for the response.
     pub time_limit: Duration,
-    /// Position of the digits of the time limit in the statement.
+    /// The byte range of the time limit's digits in the statement.
     pub time_limit_range: Range<usize>,
 }
 
-/// Parses a statement of the form that clients use.
+/// Parses a client statement.
 ///
 /// # Errors
-/// It has another form, or a field of its comment is missing or invalid.
+/// It is none of the supported statements, or a field of its comment is missing, repeated or
+/// invalid.
 pub fn parse_statement(statement: &str) -> Result<ClientStatement<'_>, StatementError> {
     let parts = split_statement(statement)?;
     let comment = CommentFields::parse(&parts)?;
@@ -92,7 +94,7 @@
 struct StatementParts<'a> {
     code: &'a str,
     fields: &'a str,
-    /// Position of the fields in the statement.
+    /// The byte offset of the fields in the statement.
     fields_start: usize,
 }
 
@@ -111,19 +113,19 @@
     })
 }
 
-/// The code, and the text after the start of the comment.
+/// Splits a SELECT into the code, and the text after the start of the comment.
 fn split_select(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(SELECT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     Some((code, rest.strip_prefix(SELECT_AFTER_CODE)?))
 }
 
-/// The code, and the text after the start of the comment.
+/// Splits an INSERT into the code, and the text after the start of the comment.
 fn split_insert(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(INSERT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     let (value, rest) = split_at_quote(rest.strip_prefix(INSERT_BEFORE_VALUE)?)?;
-    // Two hexadecimal digits are one byte.
+    // Each byte is two hexadecimal digits.
     let is_value_valid = value.len().is_multiple_of(2)
         && value.len() <= 2 * MAX_VALUE_LENGTH
         && value.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -133,18 +135,18 @@
     Some((code, rest.strip_prefix(INSERT_AFTER_VALUE)?))
 }
 
-/// The text before the next quote, and the rest from that quote on.
+/// Splits text before its first single quote.
 fn split_at_quote(text: &str) -> Option<(&str, &str)> {
     text.find('\'').map(|quote| text.split_at(quote))
 }
 
-/// The digits of a time limit and their position in the statement.
+/// The digits of a time limit and their byte offset in the statement.
 struct TimeLimitField<'a> {
     digits: &'a str,
     start: usize,
 }
 
-/// The fields of a comment that the proxy uses; others are forwarded unchanged.
+/// The fields of the comment that the proxy uses; the others are forwarded unchanged.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
