--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -1,60 +1,60 @@
-//! When the bytes of a connection were received. The time of a request starts with its last byte,
-//! even while it waits behind another request of the same connection. No I/O.
+//! Arrival times of the bytes of a connection. A request's time limit counts from the arrival of
+//! its last byte, also while it is queued behind another request on the same connection. No I/O.
 
 use std::collections::VecDeque;
 
 use tidescale_policy::types::Timestamp;
 
-/// Most arrival times kept for one connection. More are needed only if a client sends a few bytes
-/// at a time.
-const MAX_MARKS: usize = 256;
+/// Maximum number of arrivals kept per connection. More are needed only if a client sends a few
+/// bytes at a time.
+const MAX_ARRIVALS: usize = 256;
 
-/// Bytes received until one time.
-struct Mark {
-    /// All bytes received by then, since the start of the connection.
+/// The number of bytes received up to a point in time.
+struct Arrival {
+    /// Total since the start of the connection.
     received: u64,
     at: Timestamp,
 }
 
-/// Arrival times of the bytes that were received and not yet used.
+/// Arrival times of the bytes that were received and not yet consumed.
 ///
-/// Marks are in the order of both bytes and time. Bytes received after the last possible mark count
-/// as received at that mark, so that the time of a request may start too early but never too late.
+/// Arrivals are ordered by byte count and by time. Once `MAX_ARRIVALS` are kept, later bytes count
+/// as received with the last of them: the reported arrival may be too early, but never too late.
 #[derive(Default)]
 pub struct Arrivals {
-    marks: VecDeque<Mark>,
+    arrivals: VecDeque<Arrival>,
     received: u64,
-    used: u64,
+    consumed: u64,
 }
 
 impl Arrivals {
-    /// Records that `count` more bytes were received.
+    /// Records `count` more bytes, received at `now`.
     pub fn record(&mut self, count: usize, now: Timestamp) {
         if count == 0 {
             return;
         }
         self.received += count as u64;
-        let is_full = self.marks.len() >= MAX_MARKS;
-        match self.marks.back_mut() {
+        let is_full = self.arrivals.len() >= MAX_ARRIVALS;
+        match self.arrivals.back_mut() {
             Some(last) if is_full || last.at == now => last.received = self.received,
-            _ => self.marks.push_back(Mark {
+            _ => self.arrivals.push_back(Arrival {
                 received: self.received,
                 at: now,
             }),
         }
     }
 
-    /// Uses the next `count` bytes. Returns when the last of them was received, or `now` if that is
-    /// unknown.
-    pub fn take(&mut self, count: usize, now: Timestamp) -> Timestamp {
-        self.used += count as u64;
+    /// Consumes the next `count` bytes. Returns when the last of them was received, or `now` if
+    /// that was not recorded.
+    pub fn consume(&mut self, count: usize, now: Timestamp) -> Timestamp {
+        self.consumed += count as u64;
         while self
-            .marks
+            .arrivals
             .front()
-            .is_some_and(|mark| mark.received < self.used)
+            .is_some_and(|arrival| arrival.received < self.consumed)
         {
-            self.marks.pop_front();
+            self.arrivals.pop_front();
         }
-        self.marks.front().map_or(now, |mark| mark.at)
+        self.arrivals.front().map_or(now, |arrival| arrival.at)
     }
 }
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Validating the statements of clients and passing the requests in them to the policy.
+//! Validating client statements and passing their requests to the policy.
 
 use thiserror::Error;
 use tidescale_policy::settings::Idempotency;
@@ -14,9 +14,9 @@
 use crate::postgres::statement::StatementError;
 use crate::postgres::{self, ClientStatement};
 
-/// Why a statement of a client cannot be served.
+/// Why a client statement is rejected.
 ///
-/// The text is sent to the client, so that changing it changes the wire format.
+/// The texts are part of the wire format: they are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum RequestError {
     #[error(transparent)]
@@ -25,7 +25,7 @@
     UnknownRoute,
     #[error("no key")]
     MissingKey,
-    /// Two clients would wait for the response to the same id.
+    /// Another pending request has the same id.
     #[error("the id of an open req")]
     IdInUse,
 }
@@ -38,16 +38,16 @@
     pub(super) arrived_at: Timestamp,
 }
 
-/// A statement that can be served.
-struct AcceptedStatement<'a> {
+/// A validated statement.
+struct ValidStatement<'a> {
     text: &'a str,
     statement: ClientStatement<'a>,
     route: RouteIndex,
     is_repeatable: bool,
 }
 
-impl AcceptedStatement<'_> {
-    fn to_pending(&self, client: ClientKey, pool: &Pool) -> PendingRequest {
+impl ValidStatement<'_> {
+    fn to_pending_request(&self, client: ClientKey, pool: &Pool) -> PendingRequest {
         let mut statement = Chain::new(pool);
         statement.push(self.text.as_bytes());
         PendingRequest {
@@ -55,47 +55,48 @@
             client_request_id: self.statement.request_id.to_string(),
             is_repeatable: self.is_repeatable,
             statement,
-            wait_range: self.statement.wait_range.clone(),
+            time_limit_range: self.statement.time_limit_range.clone(),
             attempts: Vec::new(),
         }
     }
 }
 
 impl Clients {
-    /// Passes the request of a client to the policy, or tells the client why it cannot be served.
+    /// Passes the request in a query to the policy, or responds with the reason why the statement
+    /// is rejected.
     pub(super) fn handle_query(
         &mut self,
         key: ClientKey,
         query: ReceivedQuery<'_>,
         context: &mut EventContext<'_>,
     ) {
-        let accepted = self.accept_statement(query.text);
+        let validated = self.validate_statement(query.text);
         let Some(client) = self.connections.get_mut(key) else {
             return;
         };
-        let accepted = match accepted {
-            Ok(accepted) => accepted,
+        let valid = match validated {
+            Ok(valid) => valid,
             Err(error) => {
                 log_lines::statement_rejected(&context.io.log, &error);
                 return client.reject_statement(&error.to_string());
             }
         };
-        let statement = &accepted.statement;
+        let statement = &valid.statement;
         let time_waited = context.io.now - query.arrived_at;
         let request = IncomingRequest {
-            route: accepted.route,
+            route: valid.route,
             idempotency_key: Some(statement.code),
-            time_remaining: statement.wait.saturating_sub(time_waited),
+            time_remaining: statement.time_limit.saturating_sub(time_waited),
             cost_hint: None,
         };
-        let pending = accepted.to_pending(key, &context.io.pool);
+        let pending = valid.to_pending_request(key, &context.io.pool);
         if let Some(id) = self.requests.insert(pending) {
             client.state = ClientState::AwaitingResponse { request: id };
             context.policy.on_request(id, request);
         }
     }
 
-    fn accept_statement<'a>(&self, text: &'a str) -> Result<AcceptedStatement<'a>, RequestError> {
+    fn validate_statement<'a>(&self, text: &'a str) -> Result<ValidStatement<'a>, RequestError> {
         let statement = postgres::parse_statement(text)?;
         let (route, settings) = self
             .routes
@@ -110,7 +111,7 @@
         if self.requests.has_client_request_id(statement.request_id) {
             return Err(RequestError::IdInUse);
         }
-        Ok(AcceptedStatement {
+        Ok(ValidStatement {
             text,
             statement,
             route: RouteIndex::new(route),
--- a/crates/proxy/src/postgres/encoding.rs
+++ b/crates/proxy/src/postgres/encoding.rs
@@ -1,5 +1,4 @@
-//! Encodes the messages that the proxy sends: to endpoints as their client, to clients as their
-//! server.
+//! Encoding the messages that the proxy sends, as a client to endpoints and as a server to clients.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,17 +6,17 @@
 use super::framing::PROTOCOL_VERSION;
 use crate::buffers::Chain;
 
-/// The user and the database that the proxy names to endpoints.
+/// The parameters of the startup message to endpoints.
 pub const STARTUP_PARAMETERS: [(&str, &str); 2] = [("user", "portal"), ("database", "crm")];
 
-/// The settings of the server that are sent to each client.
+/// The server parameters that are reported to each client.
 const SERVER_PARAMETERS: [(&str, &str); 3] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
 ];
 
-/// Whether an error ends the connection.
+/// The severity of an error response, which determines whether the connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The connection stays open.
@@ -35,7 +34,7 @@
     }
 }
 
-/// Writes one message; its body is given in parts.
+/// Writes one message with the concatenation of `body` as its body.
 fn put_message(out: &mut Chain, type_byte: u8, body: &[&[u8]]) {
     let length = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(&[type_byte]);
@@ -64,16 +63,17 @@
     put_message(out, b'Q', &[statement, &[0]]);
 }
 
-/// Writes the statement of a client with the time limit replaced by `wait`, in whole milliseconds.
+/// Writes a query with the statement of a client. `time_limit`, in whole milliseconds, replaces the
+/// digits at `time_limit_range`.
 pub fn put_statement(
     out: &mut Chain,
     statement: &Chain,
-    wait_range: &Range<usize>,
-    wait: Duration,
+    time_limit_range: &Range<usize>,
+    time_limit: Duration,
 ) {
-    let digits = wait.as_millis().to_string();
-    let before = statement.slices(0..wait_range.start);
-    let after = statement.slices(wait_range.end..statement.len());
+    let digits = time_limit.as_millis().to_string();
+    let before = statement.slices(0..time_limit_range.start);
+    let after = statement.slices(time_limit_range.end..statement.len());
     let body: Vec<&[u8]> = before
         .chain([digits.as_bytes()])
         .chain(after)
@@ -82,26 +82,27 @@
     put_message(out, b'Q', &body);
 }
 
-/// Writes the messages that accept a client.
-pub fn put_welcome(out: &mut Chain) {
+/// Writes the response to a startup message: `AuthenticationOk`, the server parameters, and
+/// ReadyForQuery.
+pub fn put_startup_response(out: &mut Chain) {
     put_message(out, b'R', &[&[0; 4]]);
     for (name, value) in SERVER_PARAMETERS {
         put_message(out, b'S', &[name.as_bytes(), &[0], value.as_bytes(), &[0]]);
     }
-    put_ready(out);
+    put_ready_for_query(out);
 }
 
-/// Writes ReadyForQuery: the next query is accepted.
-pub fn put_ready(out: &mut Chain) {
+/// Writes ReadyForQuery with the status "not in a transaction".
+pub fn put_ready_for_query(out: &mut Chain) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Writes the response to a query without a statement.
-pub fn put_empty_query(out: &mut Chain) {
+/// Writes `EmptyQueryResponse`, in response to a query without a statement.
+pub fn put_empty_query_response(out: &mut Chain) {
     put_message(out, b'I', &[]);
 }
 
-/// Writes an error response; an empty `detail` is omitted.
+/// Writes an ErrorResponse; an empty `detail` is omitted.
 pub fn put_error(out: &mut Chain, severity: Severity, code: &str, message: &str, detail: &str) {
     let fields = [
         (b'S', severity.as_str()),
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -1,12 +1,13 @@
-//! Parses the only form of statement that clients may send, with the properties of the request in
-//! its comment.
+//! Parsing the only statements that clients may send. A comment at the end of the statement holds
+//! the fields of the request: `id` is its id, `c` the route, `d` the time limit in milliseconds,
+//! and `k` the key that routes with idempotency keys require.
 //!
 //! ```sql
 //! SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,d=480 */
 //! INSERT INTO facts (code, data) VALUES ('7f3a', '\x9f03') RETURNING data /* id=9b1f,c=order,d=480,k=5c0f */
 //! ```
 //!
-//! A statement in any other form is rejected: endpoints accept only these statements.
+//! Any other statement is rejected, because endpoints accept only these two.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,10 +16,10 @@
 
 use super::framing::MAX_VALUE_LENGTH;
 
-/// The longest code, id or key, in hexadecimal digits.
-const MAX_ID_LENGTH: usize = 64;
-/// The longest time that a client may wait: an hour.
-const MAX_WAIT_MS: u64 = 3_600_000;
+/// Maximum length of a code, id or key, in hexadecimal digits.
+const MAX_IDENTIFIER_LENGTH: usize = 64;
+/// Maximum time limit of a request: one hour.
+const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
 
 const SELECT_BEFORE_CODE: &str = "SELECT data FROM facts WHERE code = '";
 const SELECT_AFTER_CODE: &str = "' /* ";
@@ -27,64 +28,65 @@
 const INSERT_AFTER_VALUE: &str = "') RETURNING data /* ";
 const COMMENT_END: &str = " */";
 
-/// Why a statement is not in the form that clients use.
+/// Why a statement is invalid.
 ///
-/// The text is sent to the client, so that changing it changes the wire format.
+/// The texts are part of the wire format: they are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// It differs from the form.
+    /// It is none of the supported statements.
     #[error("a statement of another form")]
-    Form,
-    /// Its comment has a field twice.
+    UnsupportedForm,
+    /// Its comment has a field more than once.
     #[error("a field given twice")]
     RepeatedField,
     /// Its comment has no id, no route or no time limit.
     #[error("a field is missing")]
     MissingField,
-    /// The time limit is not a number of milliseconds of up to an hour.
+    /// The time limit is not a whole number of milliseconds, or exceeds one hour.
     #[error("not a time")]
-    Wait,
+    InvalidTimeLimit,
 }
 
 /// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClientStatement<'a> {
-    /// The id that the client gave the request.
+    /// The request id that the client has chosen.
     pub request_id: &'a str,
     /// The name of the route.
     pub route: &'a str,
-    /// The code of the fact that it reads or writes.
+    /// The code of the fact that the statement reads or writes.
     pub code: &'a str,
-    /// The key of the client, if it sent one.
+    /// The key, if the client sent one.
     pub key: Option<&'a str>,
     /// How long the client waits for the response.
-    pub wait: Duration,
-    /// Position of the digits of the time limit in the statement.
-    pub wait_range: Range<usize>,
+    pub time_limit: Duration,
+    /// The byte range of the time limit's digits in the statement.
+    pub time_limit_range: Range<usize>,
 }
 
-/// Parses a statement of the form that clients use.
+/// Parses a client statement.
 ///
 /// # Errors
-/// It has another form, or a field of its comment is missing or invalid.
+/// It is none of the supported statements, or a field of its comment is missing, repeated or
+/// invalid.
 pub fn parse_statement(statement: &str) -> Result<ClientStatement<'_>, StatementError> {
     let parts = split_statement(statement)?;
-    let comment = Comment::parse(&parts)?;
+    let comment = CommentFields::parse(&parts)?;
     let request_id = comment.id.ok_or(StatementError::MissingField)?;
     let route = comment.route.ok_or(StatementError::MissingField)?;
-    let wait = comment.wait.ok_or(StatementError::MissingField)?;
-    let wait_ms = parse_wait(wait.digits)?;
+    let time_limit = comment.time_limit.ok_or(StatementError::MissingField)?;
+    let time_limit_ms = parse_time_limit(time_limit.digits)?;
     let is_key_valid = comment.key.is_none_or(is_identifier);
     if !is_identifier(parts.code) || !is_identifier(request_id) || !is_key_valid {
-        return Err(StatementError::Form);
+        return Err(StatementError::UnsupportedForm);
     }
     Ok(ClientStatement {
         request_id,
         route,
         code: parts.code,
         key: comment.key,
-        wait: Duration::from_millis(wait_ms),
-        wait_range: wait.start..wait.start + wait.digits.len(),
+        time_limit: Duration::from_millis(time_limit_ms),
+        time_limit_range: time_limit.start..time_limit.start + time_limit.digits.len(),
     })
 }
 
@@ -92,18 +94,18 @@
 struct StatementParts<'a> {
     code: &'a str,
     fields: &'a str,
-    /// Position of the fields in the statement.
+    /// The byte offset of the fields in the statement.
     fields_start: usize,
 }
 
 fn split_statement(statement: &str) -> Result<StatementParts<'_>, StatementError> {
     let (code, comment) = split_select(statement)
         .or_else(|| split_insert(statement))
-        .ok_or(StatementError::Form)?;
+        .ok_or(StatementError::UnsupportedForm)?;
     let fields = comment
         .strip_suffix(COMMENT_END)
         .filter(|fields| !fields.contains("*/"))
-        .ok_or(StatementError::Form)?;
+        .ok_or(StatementError::UnsupportedForm)?;
     Ok(StatementParts {
         code,
         fields,
@@ -111,19 +113,19 @@
     })
 }
 
-/// The code, and the text after the start of the comment.
+/// Splits a SELECT into the code, and the text after the start of the comment.
 fn split_select(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(SELECT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     Some((code, rest.strip_prefix(SELECT_AFTER_CODE)?))
 }
 
-/// The code, and the text after the start of the comment.
+/// Splits an INSERT into the code, and the text after the start of the comment.
 fn split_insert(statement: &str) -> Option<(&str, &str)> {
     let rest = statement.strip_prefix(INSERT_BEFORE_CODE)?;
     let (code, rest) = split_at_quote(rest)?;
     let (value, rest) = split_at_quote(rest.strip_prefix(INSERT_BEFORE_VALUE)?)?;
-    // Two hexadecimal digits are one byte.
+    // Each byte is two hexadecimal digits.
     let is_value_valid = value.len().is_multiple_of(2)
         && value.len() <= 2 * MAX_VALUE_LENGTH
         && value.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -133,43 +135,45 @@
     Some((code, rest.strip_prefix(INSERT_AFTER_VALUE)?))
 }
 
-/// The text before the next quote, and the rest from that quote on.
+/// Splits text before its first single quote.
 fn split_at_quote(text: &str) -> Option<(&str, &str)> {
     text.find('\'').map(|quote| text.split_at(quote))
 }
 
-/// The digits of a time limit and their position in the statement.
-struct Wait<'a> {
+/// The digits of a time limit and their byte offset in the statement.
+struct TimeLimitField<'a> {
     digits: &'a str,
     start: usize,
 }
 
-/// The fields of a comment that the proxy uses; others are forwarded unchanged.
+/// The fields of the comment that the proxy uses; the others are forwarded unchanged.
 #[derive(Default)]
-struct Comment<'a> {
+struct CommentFields<'a> {
     id: Option<&'a str>,
     route: Option<&'a str>,
-    wait: Option<Wait<'a>>,
+    time_limit: Option<TimeLimitField<'a>>,
     key: Option<&'a str>,
 }
 
-impl<'a> Comment<'a> {
-    fn parse(parts: &StatementParts<'a>) -> Result<Comment<'a>, StatementError> {
-        let mut comment = Comment::default();
+impl<'a> CommentFields<'a> {
+    fn parse(parts: &StatementParts<'a>) -> Result<CommentFields<'a>, StatementError> {
+        let mut comment = CommentFields::default();
         let mut pair_start = parts.fields_start;
         for pair in parts.fields.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(StatementError::Form)?;
+            let (name, value) = pair
+                .split_once('=')
+                .ok_or(StatementError::UnsupportedForm)?;
             let start = pair_start + name.len() + 1;
             pair_start += pair.len() + 1;
             let is_repeated = match name {
                 "id" => comment.id.replace(value).is_some(),
                 "c" => comment.route.replace(value).is_some(),
                 "d" => {
-                    let wait = Wait {
+                    let time_limit = TimeLimitField {
                         digits: value,
                         start,
                     };
-                    comment.wait.replace(wait).is_some()
+                    comment.time_limit.replace(time_limit).is_some()
                 }
                 "k" => comment.key.replace(value).is_some(),
                 _ => false,
@@ -182,19 +186,19 @@
     }
 }
 
-fn parse_wait(digits: &str) -> Result<u64, StatementError> {
+fn parse_time_limit(digits: &str) -> Result<u64, StatementError> {
     // `parse` would accept a sign.
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(StatementError::Wait);
+        return Err(StatementError::InvalidTimeLimit);
     }
-    let wait_ms = digits.parse().ok();
-    wait_ms
-        .filter(|wait_ms| *wait_ms <= MAX_WAIT_MS)
-        .ok_or(StatementError::Wait)
+    let time_limit_ms = digits.parse().ok();
+    time_limit_ms
+        .filter(|time_limit_ms| *time_limit_ms <= MAX_TIME_LIMIT_MS)
+        .ok_or(StatementError::InvalidTimeLimit)
 }
 
 fn is_identifier(text: &str) -> bool {
     !text.is_empty()
-        && text.len() <= MAX_ID_LENGTH
+        && text.len() <= MAX_IDENTIFIER_LENGTH
         && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -124,7 +124,7 @@
             ExchangeKind::Attempt(id) => {
                 let pending = clients.request(id.request)?;
                 let statement = &pending.statement;
-                postgres::put_statement(output, statement, &pending.wait_range, wait);
+                postgres::put_statement(output, statement, &pending.time_limit_range, wait);
             }
             ExchangeKind::HealthCheck => postgres::put_query(output, health_check.text()),
         }
