--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Bytes in a buffer.
-pub const SIZE: usize = 16 * 1024;
+pub const BUFFER_SIZE: usize = 16 * 1024;
 
 /// Most buffers written by one system call.
 const MAX_WRITE_SLICES: usize = 16;
@@ -39,24 +39,24 @@
     }
 
     /// All buffers are in use, so that reading has to stop.
-    pub fn is_empty(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         let state = self.0.borrow();
         state.in_use >= state.capacity
     }
 
     /// More than half of the buffers are free.
-    pub fn is_ample(&self) -> bool {
+    pub fn is_mostly_free(&self) -> bool {
         let state = self.0.borrow();
         state.in_use < state.capacity / 2
     }
 
-    fn take(&self) -> Buffer {
+    fn acquire(&self) -> Buffer {
         let mut state = self.0.borrow_mut();
         state.in_use += 1;
         let bytes = state
             .free
             .pop()
-            .unwrap_or_else(|| vec![0; SIZE].into_boxed_slice());
+            .unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
         Buffer {
             bytes,
             start: 0,
@@ -104,15 +104,15 @@
 
 /// How a read ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fill {
+pub enum FillStatus {
     /// No more bytes are available now.
-    Drained,
+    WouldBlock,
     /// As many bytes as requested; there may be more.
-    Enough,
+    Complete,
     /// No buffer was free.
-    Starved,
+    PoolExhausted,
     /// The peer has finished sending.
-    Ended,
+    EndOfStream,
 }
 
 impl Chain {
@@ -136,19 +136,21 @@
     }
 
     fn is_last_buffer_full(&self) -> bool {
-        self.buffers.back().is_none_or(|last| last.end == SIZE)
+        self.buffers
+            .back()
+            .is_none_or(|last| last.end == BUFFER_SIZE)
     }
 
     /// Appends bytes, even if the pool is empty.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             if self.is_last_buffer_full() {
-                self.buffers.push_back(self.pool.take());
+                self.buffers.push_back(self.pool.acquire());
             }
             let Some(last) = self.buffers.back_mut() else {
                 return;
             };
-            let count = bytes.len().min(SIZE - last.end);
+            let count = bytes.len().min(BUFFER_SIZE - last.end);
             let (fitting, rest) = bytes.split_at(count);
             last.unfilled()[..count].copy_from_slice(fitting);
             last.end += count;
@@ -171,7 +173,7 @@
     }
 
     /// Appends a range to `to`.
-    pub fn copy(&self, range: Range<usize>, to: &mut Vec<u8>) {
+    pub fn copy_to(&self, range: Range<usize>, to: &mut Vec<u8>) {
         self.slices(range)
             .for_each(|slice| to.extend_from_slice(slice));
     }
@@ -191,7 +193,7 @@
     }
 
     /// Moves the first `count` bytes to another chain, which appends them.
-    pub fn pass(&mut self, count: usize, to: &mut Chain) {
+    pub fn move_to(&mut self, count: usize, to: &mut Chain) {
         self.slices(0..count).for_each(|slice| to.push(slice));
         self.skip(count);
     }
@@ -200,19 +202,19 @@
     ///
     /// # Errors
     /// Those of `from` except `Interrupted` and `WouldBlock`.
-    pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<Fill> {
+    pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<FillStatus> {
         while self.len < wanted {
             if self.is_last_buffer_full() {
-                if self.pool.is_empty() {
-                    return Ok(Fill::Starved);
+                if self.pool.is_exhausted() {
+                    return Ok(FillStatus::PoolExhausted);
                 }
-                self.buffers.push_back(self.pool.take());
+                self.buffers.push_back(self.pool.acquire());
             }
             let Some(last) = self.buffers.back_mut() else {
-                return Ok(Fill::Starved);
+                return Ok(FillStatus::PoolExhausted);
             };
             match from.read(last.unfilled()) {
-                Ok(0) => return Ok(Fill::Ended),
+                Ok(0) => return Ok(FillStatus::EndOfStream),
                 Ok(count) => {
                     last.end += count;
                     self.len += count;
@@ -223,20 +225,20 @@
                         self.buffers.pop_back();
                     }
                     if error.kind() == ErrorKind::WouldBlock {
-                        return Ok(Fill::Drained);
+                        return Ok(FillStatus::WouldBlock);
                     }
                     return Err(error);
                 }
             }
         }
-        Ok(Fill::Enough)
+        Ok(FillStatus::Complete)
     }
 
     /// Writes as many bytes as `to` accepts, and removes them.
     ///
     /// # Errors
     /// Those of `to` except `Interrupted` and `WouldBlock`.
-    pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
+    pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<()> {
         while !self.is_empty() {
             let slices: Vec<IoSlice> = self
                 .slices(0..self.len)
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -114,7 +114,7 @@
         };
         has_connections_to_accept
             || !self.pending.is_empty()
-            || !self.starved.is_empty() && !context.clients_pool.is_empty()
+            || !self.starved.is_empty() && !context.client_pool.is_exhausted()
     }
 
     /// Number of requests that are not finished.
@@ -169,7 +169,7 @@
             Stage::AwaitingResponse | Stage::Writing | Stage::ReceivingMessage => true,
             Stage::Closing => !client.connection.output.is_empty(),
             Stage::Opening | Stage::AwaitingFirstRequest | Stage::Idle => {
-                !client.connection.is_quiet()
+                !client.connection.has_no_pending_input()
             }
         };
         let is_drained = self.listener_state == ListenerState::Drained;
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -71,7 +71,7 @@
         let accepted_in_shutdown = self.is_shutting_down;
         let inserted = self.connections.insert(|key: ClientKey| {
             let owner = Owner::client(key);
-            let connection = Connection::over(context, socket, owner, &context.clients_pool)?;
+            let connection = Connection::from_socket(context, socket, owner, &context.client_pool)?;
             Ok::<_, io::Error>(ClientConnection::new(connection, accepted_in_shutdown))
         });
         match inserted {
@@ -116,7 +116,7 @@
         let has_sent_nothing = |placement: &Placement| {
             self.connections
                 .get(placement.connection)
-                .is_some_and(|client| client.is_closing() || client.connection.is_silent())
+                .is_some_and(|client| client.is_closing() || client.connection.read_would_block())
         };
         self.stages.eviction_order(latest).find(has_sent_nothing)
     }
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -4,16 +4,16 @@
 
 use super::arrivals::Arrivals;
 use super::stages::Stage;
-use crate::buffers::{Pool, SIZE};
+use crate::buffers::{BUFFER_SIZE, Pool};
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, frame_head, whole_frame};
 
 /// Bytes read ahead while a request is pending. Also the most bytes of responses that may wait for
 /// a client that sends requests without reading.
-const READ_AHEAD: usize = SIZE;
+const READ_AHEAD: usize = BUFFER_SIZE;
 /// Bytes read ahead while many buffers are free. The time of a request starts when it is read, so
 /// that reading early measures it more exactly.
-const FAR_READ_AHEAD: usize = 16 * SIZE;
+const FAR_READ_AHEAD: usize = 16 * BUFFER_SIZE;
 /// Bytes discarded after an error without waiting for readiness. Closing a socket with unread input
 /// resets the connection, and the client could not read the error.
 const MAX_DISCARDED: usize = 256 * 1024;
@@ -126,13 +126,13 @@
     /// There may be another message to handle.
     pub(super) fn may_have_message(&self) -> bool {
         let next = || whole_frame::<ClientMessage>(&self.connection.input);
-        self.connection.has_more() || self.is_open() && next() != Ok(None)
+        self.connection.may_be_readable() || self.is_open() && next() != Ok(None)
     }
 
     /// How many bytes of input are needed to handle the next message. Behind a pending request only
     /// the start of the next message is read.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
-        let read_ahead = if self.is_open() && pool.is_ample() {
+        let read_ahead = if self.is_open() && pool.is_mostly_free() {
             FAR_READ_AHEAD
         } else {
             READ_AHEAD
@@ -178,6 +178,6 @@
             ClientState::Closing { discarded } => discarded < MAX_DISCARDED,
             _ => false,
         };
-        is_within_limit && self.connection.has_more()
+        is_within_limit && self.connection.may_be_readable()
     }
 }
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -23,12 +23,12 @@
         }
         // A client that has sent something since has a request in transit.
         let is_done = self.is_shutting_down && client.is_done_at_shutdown();
-        if is_done && client.connection.is_silent() {
+        if is_done && client.connection.read_would_block() {
             return self.close(key, context);
         }
         let stage = client.stage();
         if stage == Stage::Closing && client.connection.output.is_empty() {
-            client.connection.end_sending();
+            client.connection.shutdown_write();
         }
         // A starved connection is served again once buffers are free.
         let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
@@ -58,7 +58,7 @@
         let has_sent_nothing = |key: &ClientKey| {
             self.connections
                 .get(*key)
-                .is_some_and(|client| client.connection.is_silent())
+                .is_some_and(|client| client.connection.read_would_block())
         };
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
@@ -90,7 +90,7 @@
         if context.io.now < deadline {
             return context.io.deadlines.set(owner, deadline);
         }
-        if placement.stage != Stage::Closing && !client.connection.is_silent() {
+        if placement.stage != Stage::Closing && !client.connection.read_would_block() {
             // Received bytes were not read, for lack of buffers or because of the limit on reads:
             // they may hold a whole request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -118,7 +118,7 @@
         let length = range.end;
         let input = &mut self.connection.input;
         body.clear();
-        input.copy(range, body);
+        input.copy_to(range, body);
         input.skip(length);
         self.arrivals.take(length, now)
     }
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.requests.used()
+        self.requests.entry_count()
     }
 
     pub(super) fn has_client_request_id(&self, client_request_id: &str) -> bool {
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -7,7 +7,7 @@
 use super::requests::ReceivedQuery;
 use super::stages::Stage;
 use super::{Clients, MIN_STAGE_AGE};
-use crate::buffers::Fill;
+use crate::buffers::FillStatus;
 use crate::context::{EventContext, IoContext};
 use crate::ids::ClientKey;
 use crate::log_lines;
@@ -34,7 +34,7 @@
             self.close(key, context);
             return ControlFlow::Break(());
         };
-        if fill == Fill::Starved {
+        if fill == FillStatus::PoolExhausted {
             self.starved.push(key);
             self.free_buffers(key, context);
         }
@@ -45,8 +45,8 @@
         let may_read_on = self
             .connections
             .get(key)
-            .is_some_and(|client| client.takes_messages() && client.connection.has_more());
-        if may_read_on && fill != Fill::Starved {
+            .is_some_and(|client| client.takes_messages() && client.connection.may_be_readable());
+        if may_read_on && fill != FillStatus::PoolExhausted {
             ControlFlow::Continue(())
         } else {
             ControlFlow::Break(())
@@ -78,19 +78,19 @@
     }
 
     /// Reads what a client has sent; the end of its stream is an error.
-    fn read(&mut self, key: ClientKey, context: &IoContext) -> io::Result<Fill> {
+    fn read(&mut self, key: ClientKey, context: &IoContext) -> io::Result<FillStatus> {
         let Some(client) = self.connections.get_mut(key) else {
             return Err(io::ErrorKind::NotFound.into());
         };
-        let bytes_wanted = client.bytes_wanted(&context.clients_pool);
+        let bytes_wanted = client.bytes_wanted(&context.client_pool);
         let length_before = client.connection.input.len();
         let read = client.connection.read(bytes_wanted);
         let count = client.connection.input.len() - length_before;
         client.arrivals.record(count, context.now);
         match read? {
-            Fill::Ended => Err(io::ErrorKind::UnexpectedEof.into()),
+            FillStatus::EndOfStream => Err(io::ErrorKind::UnexpectedEof.into()),
             // The end of the stream may be behind more bytes than are read ahead.
-            Fill::Enough if client.connection.has_hung_up() => {
+            FillStatus::Complete if client.connection.has_hung_up() => {
                 Err(io::ErrorKind::UnexpectedEof.into())
             }
             fill => Ok(fill),
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -88,7 +88,7 @@
             time_remaining: statement.wait.saturating_sub(time_waited),
             cost_hint: None,
         };
-        let pending = accepted.to_pending(key, &context.io.pool);
+        let pending = accepted.to_pending(key, &context.io.endpoint_pool);
         if let Some(id) = self.requests.insert(pending) {
             client.state = ClientState::AwaitingResponse { request: id };
             context.policy.on_request(id, request);
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -15,7 +15,7 @@
 impl Clients {
     /// Forwards the response of an endpoint.
     pub fn complete_request(&mut self, id: RequestId, answer: &mut Chain) {
-        self.respond(id, |output| answer.pass(answer.len(), output));
+        self.respond(id, |output| answer.move_to(answer.len(), output));
     }
 
     /// An endpoint has found the request itself invalid.
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -12,7 +12,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::buffers::{Chain, Fill, Pool};
+use crate::buffers::{Chain, FillStatus, Pool};
 use crate::context::{Component, IoContext, Owner, ReadyEvents};
 
 /// The error code of Linux for a connect that continues in the background. The standard library has
@@ -55,17 +55,17 @@
     ///
     /// # Errors
     /// The system has no socket left, or the address cannot be connected to.
-    pub fn open(context: &IoContext, to: SocketAddr, owner: Owner) -> io::Result<Connection> {
+    pub fn connect(context: &IoContext, to: SocketAddr, owner: Owner) -> io::Result<Connection> {
         let pool = if owner.component == Component::Endpoint {
-            &context.pool
+            &context.endpoint_pool
         } else {
-            &context.streams_pool
+            &context.control_pool
         };
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
             Err(error) if error.raw_os_error() != Some(EINPROGRESS) => Err(error),
-            _ => Connection::over(context, socket.into(), owner, pool),
+            _ => Connection::from_socket(context, socket.into(), owner, pool),
         }
     }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// The socket cannot be set up or registered.
-    pub fn over(
+    pub fn from_socket(
         context: &IoContext,
         socket: TcpStream,
         owner: Owner,
@@ -88,7 +88,7 @@
             token,
             handle: context.handle.clone(),
             input: Chain::new(pool),
-            output: Chain::new(&context.pool),
+            output: Chain::new(&context.endpoint_pool),
             // An accepted client may already have sent its first request.
             readable: owner.component == Component::Client,
         })
@@ -103,22 +103,22 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub fn read(&mut self, wanted: usize) -> io::Result<Fill> {
+    pub fn read(&mut self, wanted: usize) -> io::Result<FillStatus> {
         if !self.readable {
-            return Ok(Fill::Drained);
+            return Ok(FillStatus::WouldBlock);
         }
         let fill = self.input.fill(&mut &*self.socket, wanted)?;
-        self.readable = matches!(fill, Fill::Enough | Fill::Starved);
+        self.readable = matches!(fill, FillStatus::Complete | FillStatus::PoolExhausted);
         Ok(fill)
     }
 
     /// There may be more to read, although the event loop will not report it again.
-    pub fn has_more(&self) -> bool {
+    pub fn may_be_readable(&self) -> bool {
         self.readable
     }
 
     /// Closes the sending direction; the peer may still send.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         // This fails only if the peer has already closed the connection.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
@@ -148,7 +148,7 @@
     /// # Errors
     /// The connection broke.
     pub fn flush(&mut self) -> io::Result<()> {
-        match self.output.drain(&mut &*self.socket) {
+        match self.output.write_to(&mut &*self.socket) {
             // The connection is not established yet.
             Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(()),
             other => other,
@@ -165,12 +165,12 @@
     }
 
     /// There is no unprocessed input and nothing to read, not even an end of the stream.
-    pub fn is_quiet(&self) -> bool {
-        self.input.is_empty() && self.is_silent()
+    pub fn has_no_pending_input(&self) -> bool {
+        self.input.is_empty() && self.read_would_block()
     }
 
     /// There is nothing to read, not even an end of the stream.
-    pub fn is_silent(&self) -> bool {
+    pub fn read_would_block(&self) -> bool {
         matches!(self.socket.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -83,12 +83,12 @@
     /// Where sockets are registered.
     pub handle: LoopHandle<'static, ReadyEvents>,
     /// Buffers for input from endpoints and for all output.
-    pub pool: Pool,
+    pub endpoint_pool: Pool,
     /// Buffers for input from clients. They are separate so that clients cannot keep the responses
     /// of endpoints from being read.
-    pub clients_pool: Pool,
+    pub client_pool: Pool,
     /// Buffers for input from discovery and the platform.
-    pub streams_pool: Pool,
+    pub control_pool: Pool,
     /// The deadlines of all components.
     pub deadlines: Deadlines<Owner>,
     /// The log.
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -15,11 +15,11 @@
 use crate::upstream::{EndpointListing, Upstream};
 
 /// Three intervals of the keep-alive lines that discovery sends while nothing changes.
-const SILENCE: Duration = Duration::from_millis(6000);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(6000);
 /// One service for all instances accepts few calls a second and queues the others. A client that
 /// gives up early causes a retry storm: the service does its work in vain and is called again. An
 /// instance is held to what the service has sent 6 s after its stream fell silent.
-const SHARED_SERVICE: StreamTimeouts = StreamTimeouts {
+const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     silence: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
@@ -28,10 +28,10 @@
 /// An agent on the host of this instance responds immediately and without cost. After a silence the
 /// instance is held immediately to everything that the agent knows: the start of a response and a
 /// backoff together have to stay below the grace period.
-const LOCAL_AGENT: StreamTimeouts = StreamTimeouts {
+const LOCAL_AGENT_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
     max_backoff: Duration::from_millis(200),
-    ..StreamTimeouts::responsive_server(SILENCE)
+    ..StreamTimeouts::responsive_server(KEEP_ALIVE_TIMEOUT)
 };
 /// A change of the list arrives within this time over each of the streams.
 const PROPAGATION_TIME: Duration = Duration::from_millis(6000);
@@ -48,15 +48,15 @@
 impl ListSource {
     fn timeouts(self) -> StreamTimeouts {
         match self {
-            ListSource::LocalAgent => LOCAL_AGENT,
-            ListSource::SharedService => SHARED_SERVICE,
+            ListSource::LocalAgent => LOCAL_AGENT_TIMEOUTS,
+            ListSource::SharedService => SHARED_SERVICE_TIMEOUTS,
         }
     }
 }
 
 /// The version of the current list, and since when it is current.
 #[derive(Default)]
-struct ListProgress {
+struct ListVersionState {
     version: u64,
     /// When discovery last confirmed the list; the origin of time if it never has.
     confirmed_at: Timestamp,
@@ -64,7 +64,7 @@
     changed_at: Timestamp,
 }
 
-impl ListProgress {
+impl ListVersionState {
     /// Whether a list is applied. During a hand-over between two streams, one of them may deliver
     /// older versions. A complete list that is still older after the propagation time is accepted:
     /// discovery has restarted its count.
@@ -85,7 +85,7 @@
 /// The stream of the endpoint list and the version of the list.
 pub struct Discovery {
     stream: PersistentStream,
-    list: ListProgress,
+    list: ListVersionState,
 }
 
 impl Discovery {
@@ -94,12 +94,12 @@
         let timeouts = source.timeouts();
         Discovery {
             stream: PersistentStream::new(Component::EndpointList, address, timeouts, seed),
-            list: ListProgress::default(),
+            list: ListVersionState::default(),
         }
     }
 
     /// Applies the list in the configuration, which is used until the stream delivers one.
-    pub fn apply_known_list(
+    pub fn apply_configured_list(
         &mut self,
         list: &EndpointList,
         upstream: &mut Upstream,
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -104,9 +104,9 @@
         let buffers = BufferBudget::split(config.memory_mb);
         let context = IoContext {
             handle: event_loop.handle(),
-            pool: buffers.endpoints,
-            clients_pool: buffers.clients,
-            streams_pool: buffers.control,
+            endpoint_pool: buffers.endpoints,
+            client_pool: buffers.clients,
+            control_pool: buffers.control,
             deadlines: Deadlines::default(),
             log,
             now,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -165,7 +165,7 @@
         if self.body.len() + available > MAX_BODY {
             return Err(HttpError::BodyTooLong);
         }
-        input.copy(0..available, &mut self.body);
+        input.copy_to(0..available, &mut self.body);
         input.skip(available);
         Ok(wanted - available)
     }
@@ -292,6 +292,6 @@
 /// Copies up to `length` bytes from the front of the input.
 fn peek(input: &Chain, length: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    input.copy(0..input.len().min(length), &mut bytes);
+    input.copy_to(0..input.len().min(length), &mut bytes);
     bytes
 }
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -225,6 +225,6 @@
 
 fn read_u32(input: &Chain, offset: usize) -> Option<u32> {
     let mut bytes = Vec::with_capacity(4);
-    input.copy(offset..offset + 4, &mut bytes);
+    input.copy_to(offset..offset + 4, &mut bytes);
     Some(u32::from_be_bytes(bytes.try_into().ok()?))
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -26,7 +26,7 @@
 use crate::discovery::{Discovery, ListSource};
 use crate::ids::SlotKey;
 use crate::log_lines;
-use crate::reload::{self, Reloadable};
+use crate::reload::{self, ReloadTargets};
 use crate::resource_budget::ConnectionBudget;
 use crate::rollout_status::RolloutStatusStream;
 use crate::shutdown::{Shutdown, ShutdownStep};
@@ -139,8 +139,11 @@
             io: &mut self.context,
             policy,
         };
-        self.discovery
-            .apply_known_list(&config.known_endpoints, &mut self.upstream, &mut context);
+        self.discovery.apply_configured_list(
+            &config.known_endpoints,
+            &mut self.upstream,
+            &mut context,
+        );
         if let Some(status) = &config.rollout_status {
             status.apply(context.policy);
         }
@@ -164,7 +167,7 @@
             self.begin_shutdown(policy);
         }
         if std::mem::take(&mut events.reload) {
-            let targets = Reloadable {
+            let targets = ReloadTargets {
                 discovery: &mut self.discovery,
                 rollout_status: &mut self.rollout_status,
                 votes: &mut self.votes,
@@ -224,13 +227,13 @@
         owners.sort_unstable_by_key(|owner| Reverse(*owner));
         owners.dedup();
         for owner in owners {
-            self.isolate(owner, policy, |proxy, policy| proxy.serve(owner, policy));
+            self.run_isolated(owner, policy, |proxy, policy| proxy.serve(owner, policy));
         }
     }
 
     fn handle_expired_deadlines(&mut self, policy: &mut Balancer) {
         while let Some(owner) = self.context.deadlines.pop_due(self.context.now) {
-            self.isolate(owner, policy, |proxy, policy| {
+            self.run_isolated(owner, policy, |proxy, policy| {
                 proxy.on_deadline(owner, policy);
             });
         }
@@ -247,7 +250,7 @@
     fn serve_clients(&mut self, policy: &mut Balancer) {
         for key in self.clients.take_pending() {
             let owner = Owner::client(key);
-            self.isolate(owner, policy, |proxy, policy| proxy.serve(owner, policy));
+            self.run_isolated(owner, policy, |proxy, policy| proxy.serve(owner, policy));
         }
     }
 }
--- a/crates/proxy/src/proxy/panic_isolation.rs
+++ b/crates/proxy/src/proxy/panic_isolation.rs
@@ -11,7 +11,7 @@
 
 impl Proxy {
     /// Runs a handler on behalf of an owner. If it panics, the connection of the owner is closed.
-    pub(super) fn isolate(
+    pub(super) fn run_isolated(
         &mut self,
         owner: Owner,
         policy: &mut Balancer,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -13,7 +13,7 @@
 use crate::votes::Votes;
 
 /// The components whose addresses a new configuration can change.
-pub struct Reloadable<'a> {
+pub struct ReloadTargets<'a> {
     /// The stream of the endpoint list.
     pub discovery: &'a mut Discovery,
     /// The rollout status stream.
@@ -23,7 +23,7 @@
 }
 
 /// Applies the configuration at `path` if it is valid.
-pub fn reload(path: &Path, targets: Reloadable<'_>, context: &mut IoContext) {
+pub fn reload(path: &Path, targets: ReloadTargets<'_>, context: &mut IoContext) {
     let config = match config::read_file(path) {
         Ok(config) => config,
         Err(error) => {
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -10,12 +10,12 @@
 /// Endpoints get one in this number of the remaining descriptors. Clients use at most a third of
 /// all descriptors for requests; the rest of their half is for clients that have to be sent an
 /// error before they are closed.
-const ENDPOINT_SHARE: usize = 2;
+const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 2;
 /// Idle clients may hold one in this number of all descriptors: less than half of those that
 /// clients use for requests.
-const IDLE_CLIENT_SHARE: usize = 8;
+const IDLE_CLIENT_DIVISOR: usize = 8;
 /// Buffers may use one in this number of the bytes of memory.
-const BUFFER_SHARE: usize = 3;
+const BUFFER_MEMORY_DIVISOR: usize = 3;
 /// Buffers for input from discovery and the platform; of the rest, half is for clients and half for
 /// endpoints.
 const CONTROL_BUFFERS: usize = 64;
@@ -35,14 +35,14 @@
     /// Splits a limit on descriptors; `None` if it is too small to serve requests.
     pub fn split(descriptor_limit: usize) -> Option<ConnectionBudget> {
         let available = descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS);
-        if available < ENDPOINT_SHARE {
+        if available < ENDPOINT_DESCRIPTOR_DIVISOR {
             return None;
         }
-        let endpoints = available / ENDPOINT_SHARE;
+        let endpoints = available / ENDPOINT_DESCRIPTOR_DIVISOR;
         Some(ConnectionBudget {
             endpoints,
             clients: available - endpoints,
-            idle_clients: descriptor_limit / IDLE_CLIENT_SHARE,
+            idle_clients: descriptor_limit / IDLE_CLIENT_DIVISOR,
         })
     }
 }
@@ -60,7 +60,8 @@
 impl BufferBudget {
     /// Splits the memory that the process may use, in MiB.
     pub fn split(memory_mb: usize) -> BufferBudget {
-        let buffers = memory_mb.saturating_mul(1024 * 1024) / BUFFER_SHARE / buffers::SIZE;
+        let buffers =
+            memory_mb.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_SIZE;
         let for_clients = buffers / 2;
         let for_endpoints = buffers.saturating_sub(for_clients + CONTROL_BUFFERS);
         BufferBudget {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -96,10 +96,10 @@
             return ShutdownStep::Continue;
         }
         // A client that does not read its response must not hold up the end.
-        let overdue = now >= times.shutdown_deadline;
+        let is_overdue = now >= times.shutdown_deadline;
         let idle_before = std::mem::replace(was_idle, is_idle());
         match (*was_idle, idle_before) {
-            _ if overdue => {}
+            _ if is_overdue => {}
             (true, true) => {}
             (true, false) => return ShutdownStep::AcceptOnceMore,
             (false, _) => return ShutdownStep::Continue,
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -40,7 +40,7 @@
     }
 
     /// Number of entries.
-    pub fn used(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.table.len()
     }
 
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -9,7 +9,7 @@
 
 use super::backoff::Backoff;
 use super::{LineError, StreamError, StreamTimeouts};
-use crate::buffers::Fill;
+use crate::buffers::FillStatus;
 use crate::connection::Connection;
 use crate::context::{IoContext, Owner};
 use crate::http;
@@ -39,7 +39,7 @@
 /// The result of reading all available bytes.
 struct Received {
     /// How the last read ended.
-    fill: io::Result<Fill>,
+    fill: io::Result<FillStatus>,
     /// At least one byte was received.
     any_bytes: bool,
     /// Whether the response is valid and has a status of success.
@@ -50,8 +50,8 @@
     fn receive(&mut self) -> Received {
         let mut any_bytes = false;
         let mut response = Ok(());
-        let mut fill = Ok(Fill::Enough);
-        while matches!(fill, Ok(Fill::Enough)) && response.is_ok() {
+        let mut fill = Ok(FillStatus::Complete);
+        while matches!(fill, Ok(FillStatus::Complete)) && response.is_ok() {
             fill = self.connection.read(READ_AHEAD);
             any_bytes |= !self.connection.input.is_empty();
             response = self.response.read(&mut self.connection.input);
@@ -137,7 +137,7 @@
     /// Connects and requests `path`.
     pub fn open(&mut self, path: &str, context: &mut IoContext) {
         self.has_delivered = false;
-        let mut connection = match Connection::open(context, self.address, self.owner) {
+        let mut connection = match Connection::connect(context, self.address, self.owner) {
             Ok(connection) => connection,
             Err(error) => return self.close_for_now(&error.into(), context),
         };
@@ -242,10 +242,10 @@
 }
 
 /// Whether the connection is still open and the response continues.
-fn check_open(fill: io::Result<Fill>, is_complete: bool) -> Result<(), StreamError> {
+fn check_open(fill: io::Result<FillStatus>, is_complete: bool) -> Result<(), StreamError> {
     match fill? {
-        Fill::Ended => Err(StreamError::Closed),
+        FillStatus::EndOfStream => Err(StreamError::Closed),
         _ if is_complete => Err(StreamError::Complete),
-        Fill::Drained | Fill::Enough | Fill::Starved => Ok(()),
+        FillStatus::WouldBlock | FillStatus::Complete | FillStatus::PoolExhausted => Ok(()),
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -141,7 +141,7 @@
 
     /// There is work to do before the event loop reports anything.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
-        !self.ended.is_empty() || !self.pending.is_empty() && !context.pool.is_empty()
+        !self.ended.is_empty() || !self.pending.is_empty() && !context.endpoint_pool.is_exhausted()
     }
 
     /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -131,7 +131,7 @@
     pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
         let input = &mut self.connection.input;
         body.clear();
-        input.copy(MESSAGE_HEAD..frame.length, body);
+        input.copy_to(MESSAGE_HEAD..frame.length, body);
         input.skip(frame.length);
     }
 
@@ -146,7 +146,9 @@
         health_check: HealthCheckQuery,
     ) -> Result<(), AnswerError> {
         body.clear();
-        self.connection.input.copy(MESSAGE_HEAD..frame.length, body);
+        self.connection
+            .input
+            .copy_to(MESSAGE_HEAD..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
             _ => return Err(AnswerError::Unrequested),
@@ -176,7 +178,7 @@
         }
         self.connection
             .input
-            .pass(frame.length, &mut exchange.answer);
+            .move_to(frame.length, &mut exchange.answer);
         Ok(())
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -85,11 +85,11 @@
         for key in settled {
             // If the endpoint has closed it meanwhile, a request would look as if it might have
             // been executed.
-            let is_quiet = self
+            let has_no_pending_input = self
                 .connections
                 .get(key)
-                .is_some_and(|connection| connection.connection.is_quiet());
-            if is_quiet {
+                .is_some_and(|connection| connection.connection.has_no_pending_input());
+            if has_no_pending_input {
                 self.remove_from_idle(name, key);
                 return Some(key);
             }
@@ -148,7 +148,7 @@
         let deadline = context.now + self.settings.connect_timeout;
         let inserted = self.connections.insert(|key| {
             let owner = Owner::endpoint(key);
-            let mut connection = Connection::open(context, process.address, owner)?;
+            let mut connection = Connection::connect(context, process.address, owner)?;
             postgres::put_startup(&mut connection.output);
             Ok(EndpointConnection {
                 connection,
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -43,7 +43,7 @@
     ) -> Option<EndpointConnectionKey> {
         let key = self.acquire_for(new, context, clients)?;
         let connection = self.connections.get_mut(key)?;
-        let answer = Chain::new(&context.pool);
+        let answer = Chain::new(&context.endpoint_pool);
         connection.assign(Exchange::new(new.job, new.deadline, context.now, answer));
         connection.last_used_at = context.now;
         let deadline = connection.limit_by_connect_deadline(new.deadline);
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -13,7 +13,7 @@
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{Ballot, VoteResult};
 
-use crate::buffers::Fill;
+use crate::buffers::FillStatus;
 use crate::connection::Connection;
 use crate::context::{Component, EventContext, IoContext, Owner};
 use crate::http;
@@ -128,10 +128,10 @@
         let form = wire::form(ballot);
         let mut connection = match std::mem::replace(&mut self.state, State::Disconnected) {
             // Unexpected input would be taken for the response to this vote.
-            State::Idle(connection) if connection.is_quiet() => connection,
+            State::Idle(connection) if connection.has_no_pending_input() => connection,
             _ => {
                 context.deadlines.clear(OWNER);
-                match Connection::open(context, self.address, OWNER) {
+                match Connection::connect(context, self.address, OWNER) {
                     Ok(connection) => connection,
                     Err(error) => {
                         log_lines::platform_connection_failed(&context.log, &error);
@@ -240,7 +240,7 @@
 fn exchange(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
     let read = connection.read(READ_AHEAD);
-    flushed.is_ok() && matches!(read, Ok(fill) if fill != Fill::Ended)
+    flushed.is_ok() && matches!(read, Ok(fill) if fill != FillStatus::EndOfStream)
 }
 
 fn notify(result: VoteResult, context: &mut EventContext<'_>) {
