--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -1,9 +1,9 @@
-//! Buffers of one size, reused from a bounded pool, and chains of them that hold messages of any
-//! length. The only I/O is through the `Read` or `Write` that is passed in.
+//! Fixed-size buffers, reused from a bounded pool, and chains of buffers that hold messages of any
+//! length. I/O happens only through the `Read` or `Write` that the caller passes in.
 //!
-//! Reading stops when a pool is empty. Writing never does: requests that were read must be
-//! answered, or their buffers would never be free again. A pool therefore counts buffers beyond its
-//! capacity, but does not keep them.
+//! Reading stops when the pool is exhausted. Writing may exceed the capacity of the pool: a request
+//! that was read must be answered, or its buffers would never be returned. Buffers beyond the
+//! capacity are counted while they are in use, and freed when they are returned.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,14 +11,14 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Bytes in a buffer.
+/// Size of a buffer in bytes.
 pub const BUFFER_SIZE: usize = 16 * 1024;
 
-/// Most buffers written by one system call.
+/// Maximum number of buffers written by one system call.
 const MAX_WRITE_SLICES: usize = 16;
 
 struct PoolState {
-    /// Allocated buffers that are not in use.
+    /// Allocated buffers that can be reused.
     free: Vec<Box<[u8]>>,
     in_use: usize,
     capacity: usize,
@@ -29,7 +29,7 @@
 pub struct Pool(Rc<RefCell<PoolState>>);
 
 impl Pool {
-    /// A pool of up to `capacity` buffers, each allocated when it is first needed.
+    /// Creates a pool of `capacity` buffers, each allocated when it is first needed.
     pub fn new(capacity: usize) -> Pool {
         Pool(Rc::new(RefCell::new(PoolState {
             free: Vec::new(),
@@ -38,13 +38,13 @@
         })))
     }
 
-    /// All buffers are in use, so that reading has to stop.
+    /// Whether all buffers are in use, so that reading has to stop.
     pub fn is_exhausted(&self) -> bool {
         let state = self.0.borrow();
         state.in_use >= state.capacity
     }
 
-    /// More than half of the buffers are free.
+    /// Whether more than half of the buffers are free.
     pub fn is_mostly_free(&self) -> bool {
         let state = self.0.borrow();
         state.in_use < state.capacity / 2
@@ -66,7 +66,7 @@
     }
 }
 
-/// One buffer, of which `start..end` is filled. Dropping it returns it to its pool.
+/// A buffer with data in `start..end`. Dropping it returns it to its pool.
 struct Buffer {
     bytes: Box<[u8]>,
     start: usize,
@@ -95,28 +95,28 @@
     }
 }
 
-/// A sequence of bytes in as many buffers as it needs.
+/// A queue of bytes, stored in as many buffers as it needs.
 pub struct Chain {
     buffers: VecDeque<Buffer>,
     len: usize,
     pool: Pool,
 }
 
-/// How a read ended.
+/// Why [`Chain::fill`] stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillStatus {
-    /// No more bytes are available now.
+    /// No more bytes are available for now.
     WouldBlock,
-    /// As many bytes as requested; there may be more.
+    /// The chain holds the requested number of bytes. There may be more to read.
     Complete,
-    /// No buffer was free.
+    /// The pool has no free buffer.
     PoolExhausted,
     /// The peer has finished sending.
     EndOfStream,
 }
 
 impl Chain {
-    /// An empty chain with buffers from this pool.
+    /// Creates an empty chain that takes its buffers from `pool`.
     pub fn new(pool: &Pool) -> Chain {
         Chain {
             buffers: VecDeque::new(),
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Number of bytes.
+    /// Number of bytes in the chain.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds no byte.
+    /// Whether the chain holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -141,7 +141,7 @@
             .is_none_or(|last| last.end == BUFFER_SIZE)
     }
 
-    /// Appends bytes, even if the pool is empty.
+    /// Appends bytes, even if the pool is exhausted.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             if self.is_last_buffer_full() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The parts of a range in order; a range beyond the end is cut off.
+    /// The contiguous parts of a byte range, in order. A range beyond the end is truncated.
     pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let mut offset = 0;
         self.buffers.iter().filter_map(move |buffer| {
@@ -172,13 +172,13 @@
         })
     }
 
-    /// Appends a range to `to`.
+    /// Appends a copy of a byte range to `to`. A range beyond the end is truncated.
     pub fn copy_to(&self, range: Range<usize>, to: &mut Vec<u8>) {
         self.slices(range)
             .for_each(|slice| to.extend_from_slice(slice));
     }
 
-    /// Removes the first `count` bytes; there have to be as many.
+    /// Removes the first `count` bytes. The chain must hold at least that many.
     pub fn skip(&mut self, mut count: usize) {
         self.len -= count;
         while let Some(first) = self.buffers.front_mut() {
@@ -192,16 +192,16 @@
         }
     }
 
-    /// Moves the first `count` bytes to another chain, which appends them.
+    /// Moves the first `count` bytes to the end of another chain.
     pub fn move_to(&mut self, count: usize, to: &mut Chain) {
         self.slices(0..count).for_each(|slice| to.push(slice));
         self.skip(count);
     }
 
-    /// Reads until the chain holds `wanted` bytes.
+    /// Reads until the chain holds at least `wanted` bytes.
     ///
     /// # Errors
-    /// Those of `from` except `Interrupted` and `WouldBlock`.
+    /// Any error of `from` except `Interrupted` and `WouldBlock`.
     pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<FillStatus> {
         while self.len < wanted {
             if self.is_last_buffer_full() {
@@ -234,10 +234,10 @@
         Ok(FillStatus::Complete)
     }
 
-    /// Writes as many bytes as `to` accepts, and removes them.
+    /// Writes as many bytes as `to` accepts, and removes them from the chain.
     ///
     /// # Errors
-    /// Those of `to` except `Interrupted` and `WouldBlock`.
+    /// Any error of `to` except `Interrupted` and `WouldBlock`.
     pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<()> {
         while !self.is_empty() {
             let slices: Vec<IoSlice> = self
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,18 +1,18 @@
 //! The clock of the proxy: Unix time at the start, advanced by the monotonic clock in whole
-//! microseconds. It does not jump when the time of the system is set.
+//! microseconds. It does not jump when the system time is adjusted.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use tidescale_policy::types::Timestamp;
 
-/// Unix time in microseconds, without jumps.
+/// A monotonic clock of Unix time in microseconds.
 pub struct Clock {
     started: Instant,
     started_at: Timestamp,
 }
 
 impl Clock {
-    /// Reads the time of the system once, now.
+    /// Starts a clock at the current system time, which is read only once.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,8 +1,7 @@
 //! A non-blocking socket with its input and output buffers.
 //!
-//! The event loop reports a socket only once when it becomes ready (edge triggered). A
-//! [`Connection`] therefore remembers that there may be more to read until a read has found nothing
-//! more.
+//! The event loop is edge-triggered: it reports a socket once when it becomes ready. A
+//! [`Connection`] therefore remembers that there may be more to read, until a read would block.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -15,31 +14,31 @@
 use crate::buffers::{Chain, FillStatus, Pool};
 use crate::context::{Component, IoContext, Owner, ReadyEvents};
 
-/// The error code of Linux for a connect that continues in the background. The standard library has
-/// an error kind for it only on newer toolchains.
+/// The Linux error code for a non-blocking connect that is in progress. The standard library has an
+/// `ErrorKind` for it only on newer toolchains.
 const EINPROGRESS: i32 = 115;
-/// Bytes read by one system call when input is discarded.
+/// Maximum number of bytes read by one system call when input is discarded.
 const DISCARD_SIZE: usize = 16 * 1024;
 
 /// The result of discarding input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Discarded {
-    /// Bytes discarded.
+    /// Number of bytes read from the socket and discarded.
     pub bytes: usize,
-    /// The peer has finished sending, or the connection broke.
+    /// Whether the peer has finished sending or the connection failed.
     pub ended: bool,
 }
 
-/// A registered socket with its buffers. Dropping it removes the socket from the event loop.
+/// A socket registered in the event loop, with its buffers. Dropping it removes the registration.
 pub struct Connection {
     socket: Rc<TcpStream>,
     token: RegistrationToken,
     handle: LoopHandle<'static, ReadyEvents>,
-    /// Bytes that were read and not yet processed.
+    /// Bytes that were read but not yet processed.
     pub input: Chain,
-    /// Bytes that were not written yet.
+    /// Bytes that are still to be written.
     pub output: Chain,
-    /// The last read did not reach the end of the available bytes.
+    /// The socket may have unread bytes: no read has found it empty since it became readable.
     readable: bool,
 }
 
@@ -50,11 +49,11 @@
 }
 
 impl Connection {
-    /// Starts to connect. [`flush`](Connection::flush) writes nothing before the connection is
-    /// established.
+    /// Starts a non-blocking connect. [`flush`](Connection::flush) writes nothing before the
+    /// connection is established.
     ///
     /// # Errors
-    /// The system has no socket left, or the address cannot be connected to.
+    /// The socket cannot be created, or the connect fails immediately.
     pub fn connect(context: &IoContext, to: SocketAddr, owner: Owner) -> io::Result<Connection> {
         let pool = if owner.component == Component::Endpoint {
             &context.endpoint_pool
@@ -69,7 +68,7 @@
         }
     }
 
-    /// A connection over an existing socket; `pool` provides the buffers for its input.
+    /// Wraps an existing socket; `pool` provides the buffers for its input.
     ///
     /// # Errors
     /// The socket cannot be set up or registered.
@@ -89,7 +88,7 @@
             handle: context.handle.clone(),
             input: Chain::new(pool),
             output: Chain::new(&context.endpoint_pool),
-            // An accepted client may already have sent its first request.
+            // An accepted client may already have sent its first message.
             readable: owner.component == Component::Client,
         })
     }
@@ -99,10 +98,10 @@
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Reads until the input holds `wanted` bytes.
+    /// Reads until the input holds at least `wanted` bytes.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection failed.
     pub fn read(&mut self, wanted: usize) -> io::Result<FillStatus> {
         if !self.readable {
             return Ok(FillStatus::WouldBlock);
@@ -112,12 +111,12 @@
         Ok(fill)
     }
 
-    /// There may be more to read, although the event loop will not report it again.
+    /// Whether there may be more to read that the event loop will not report again.
     pub fn may_be_readable(&self) -> bool {
         self.readable
     }
 
-    /// Closes the sending direction; the peer may still send.
+    /// Closes the sending direction. The peer may still send.
     pub fn shutdown_write(&self) {
         // This fails only if the peer has already closed the connection.
         let _ = self.socket.shutdown(Shutdown::Write);
@@ -143,10 +142,11 @@
         }
     }
 
-    /// Writes as much as the system accepts; the rest is written when the socket is ready again.
+    /// Writes as much of the output as the socket accepts. The rest stays in the output until the
+    /// next call.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection failed.
     pub fn flush(&mut self) -> io::Result<()> {
         match self.output.write_to(&mut &*self.socket) {
             // The connection is not established yet.
@@ -155,22 +155,26 @@
         }
     }
 
-    /// The peer has finished sending, even if bytes before that end are still unread.
+    /// Whether the peer has finished sending, even if bytes before the end are still unread.
     pub fn has_hung_up(&self) -> bool {
         let mut polled = [PollFd::new(&*self.socket, PollFlags::RDHUP)];
         let hung_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        // If the system cannot answer, the end is found once all bytes before it have been read.
+        // If `poll` fails, the end is found once all bytes before it have been read.
         let is_polled = poll(&mut polled, Some(&Timespec::default())).is_ok();
         is_polled && polled.iter().any(|fd| fd.revents().intersects(hung_up))
     }
 
-    /// There is no unprocessed input and nothing to read, not even an end of the stream.
+    /// Whether there is no unprocessed input, and a read would block. At the end of the stream a
+    /// read does not block.
     pub fn has_no_pending_input(&self) -> bool {
         self.input.is_empty() && self.read_would_block()
     }
 
-    /// There is nothing to read, not even an end of the stream.
+    /// Whether a read would block: there are no bytes to read, and the stream has not ended.
     pub fn read_would_block(&self) -> bool {
-        matches!(self.socket.peek(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
+        matches!(
+            self.socket.peek(&mut [0]),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock
+        )
     }
 }
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -1,5 +1,5 @@
-//! What the components of the proxy work with: the event loop, buffers, deadlines and the log, and
-//! the policy while events are delivered.
+//! State that all components of the proxy share: the event loop, buffers, deadlines and the log,
+//! and the policy while events are delivered.
 
 use std::io;
 use std::rc::Rc;
@@ -14,19 +14,19 @@
 use crate::deadlines::Deadlines;
 use crate::ids::{ClientKey, EndpointConnectionKey, SlotKey};
 
-/// The parts of the proxy that own sockets or deadlines. Deadlines at the same time are handled in
-/// this order.
+/// The parts of the proxy that own sockets or deadlines. Deadlines that expire at the same time are
+/// handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Component {
-    /// The wake-up that the policy has requested.
+    /// The wake-up requested by the policy.
     Policy,
-    /// The end of the process.
+    /// The shutdown of the process.
     Shutdown,
     /// The listening socket for clients.
     Listener,
-    /// Connections of clients.
+    /// Client connections.
     Client,
-    /// Connections to endpoints.
+    /// Endpoint connections.
     Endpoint,
     /// The stream of the endpoint list.
     EndpointList,
@@ -41,17 +41,17 @@
 pub struct Owner {
     /// The component.
     pub component: Component,
-    /// The connection or stream within the component; 0 if it has only one.
+    /// The connection or stream within the component; 0 if the component has only one.
     pub slot: SlotKey,
 }
 
 impl Owner {
-    /// A connection or stream of a component.
+    /// A connection, stream or deadline of a component.
     pub const fn new(component: Component, slot: SlotKey) -> Owner {
         Owner { component, slot }
     }
 
-    /// A component that has one socket or deadline only.
+    /// A component that has only one socket or deadline.
     pub const fn only(component: Component) -> Owner {
         Owner::new(component, SlotKey::new(0))
     }
@@ -78,14 +78,14 @@
     pub reload: bool,
 }
 
-/// Resources that all components share to serve their connections.
+/// Resources for I/O that all components share.
 pub struct IoContext {
-    /// Where sockets are registered.
+    /// The event loop in which sockets are registered.
     pub handle: LoopHandle<'static, ReadyEvents>,
     /// Buffers for input from endpoints and for all output.
     pub endpoint_pool: Pool,
-    /// Buffers for input from clients. They are separate so that clients cannot keep the responses
-    /// of endpoints from being read.
+    /// Buffers for input from clients. The pool is separate so that clients cannot use up the
+    /// buffers needed to read the responses of endpoints.
     pub client_pool: Pool,
     /// Buffers for input from discovery and the platform.
     pub control_pool: Pool,
@@ -93,15 +93,15 @@
     pub deadlines: Deadlines<Owner>,
     /// The log.
     pub log: Logger,
-    /// The time of this iteration.
+    /// The time of the current event-loop iteration.
     pub now: Timestamp,
 }
 
 impl IoContext {
-    /// Makes the event loop report the readiness of a socket under its owner.
+    /// Registers a socket in the event loop, which reports its readiness with its owner.
     ///
     /// # Errors
-    /// The system cannot watch another socket.
+    /// The event loop cannot register the socket.
     pub fn register(
         &self,
         socket: Rc<impl std::os::fd::AsFd + 'static>,
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -1,12 +1,12 @@
-//! All deadlines of the process in one ordered table, without I/O.
+//! All deadlines of the process in one ordered table. No I/O.
 //!
-//! Invariant: an owner has at most one deadline, and both indexes hold the same pairs.
+//! Invariant: an owner has at most one deadline, and both indexes hold the same deadlines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use tidescale_policy::types::Timestamp;
 
-/// Deadlines by time and by owner.
+/// A table of deadlines, indexed by time and by owner.
 pub struct Deadlines<Owner> {
     by_time: BTreeSet<(Timestamp, Owner)>,
     by_owner: BTreeMap<Owner, Timestamp>,
@@ -22,7 +22,7 @@
 }
 
 impl<Owner: Copy + Ord> Deadlines<Owner> {
-    /// Sets the deadline of an owner and replaces an earlier one.
+    /// Sets the deadline of an owner, replacing its previous one.
     pub fn set(&mut self, owner: Owner, at: Timestamp) {
         self.clear(owner);
         self.by_time.insert((at, owner));
@@ -41,8 +41,8 @@
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// Removes the earliest deadline that has expired by `now`, and returns its owner. Of deadlines
-    /// at the same time the lowest owner comes first.
+    /// Removes the earliest deadline that has expired by `now`, and returns its owner. Deadlines at
+    /// the same time are returned in ascending order of their owners.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<Owner> {
         let (at, owner) = *self.by_time.first()?;
         if at > now {
--- a/crates/proxy/src/ids.rs
+++ b/crates/proxy/src/ids.rs
@@ -1,32 +1,33 @@
-//! Identifiers of connections and streams, each with a type of its own so that they cannot be mixed
-//! up.
+//! Keys of connections and streams. Each table has a key type of its own, so that keys of different
+//! tables cannot be confused.
 
 use tidescale_policy::types::RequestId;
 
-/// Identifies an entry of a table of slots, or a stream among those of its component.
+/// Identifies an entry of a [`Slots`](crate::slots::Slots) table, or a stream within its component.
 ///
-/// The number includes the generation of the slot, so that a key is never used for two entries.
+/// The key of an entry includes the generation of its slot, so that no two entries have the same
+/// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotKey(u64);
 
 impl SlotKey {
-    /// Wraps the bare number.
+    /// Creates a key from its numeric value.
     pub const fn new(number: u64) -> SlotKey {
         SlotKey(number)
     }
 
-    /// The bare number.
+    /// The numeric value.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The key that follows.
+    /// The key with the next higher number.
     pub const fn next(self) -> SlotKey {
         SlotKey(self.0 + 1)
     }
 }
 
-/// Declares the key of one table.
+/// Declares the key type of one table.
 macro_rules! table_key {
     ($(#[$attributes:meta])* $name:ident) => {
         $(#[$attributes])*
@@ -48,11 +49,11 @@
 }
 
 table_key!(
-    /// Identifies the connection of a client.
+    /// Identifies a client connection.
     ClientKey
 );
 table_key!(
-    /// Identifies a connection to an endpoint.
+    /// Identifies an endpoint connection.
     EndpointConnectionKey
 );
 
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -1,12 +1,12 @@
-//! Parses the load reports that endpoints send with their responses. No I/O.
+//! Parser for the load reports that endpoints send with their responses. No I/O.
 
 use tidescale_policy::types::LoadReport;
 
-/// Larger counts are invalid: no endpoint can have as many requests.
+/// Larger counts are invalid: no endpoint can have that many requests.
 const MAX_COUNT: f64 = 1e6;
 
-/// Parses a load report: pairs of names and values, of which some are used. `None` if one of these
-/// is invalid.
+/// Parses a load report: comma-separated `name=value` pairs, of which unknown names are ignored.
+/// Returns `None` if a pair has no `=` or a known value is invalid.
 pub fn parse(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -1,7 +1,7 @@
-//! Bounded tables of entries, each identified by a key of the table's own type.
+//! Bounded tables whose entries are identified by generational keys.
 //!
 //! A key includes the generation of its slot: once its entry has been removed, the key finds
-//! nothing, even if the slot is in use again.
+//! nothing, even if the slot has been reused.
 
 use std::marker::PhantomData;
 
@@ -9,7 +9,7 @@
 
 use crate::ids::SlotKey;
 
-/// A table of entries by key. It never holds more entries than its capacity.
+/// A table of entries by key, with a fixed capacity. Each table may have a key type of its own.
 pub struct Slots<T, Key = SlotKey> {
     table: SlotMap<DefaultKey, T>,
     capacity: usize,
@@ -25,7 +25,7 @@
 }
 
 impl<T, Key: From<SlotKey> + Into<SlotKey>> Slots<T, Key> {
-    /// An empty table for at most `capacity` entries.
+    /// Creates an empty table for at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         Slots {
             table: SlotMap::new(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether the table is at its capacity.
+    /// Whether the table has reached its capacity.
     pub fn is_full(&self) -> bool {
         self.table.len() >= self.capacity
     }
@@ -44,8 +44,8 @@
         self.table.len()
     }
 
-    /// Inserts the entry that `make` creates from its key. Returns the key, the error of `make`, or
-    /// `None` if the table is full.
+    /// Inserts the entry that `make` creates from its new key. Returns the key or the error of
+    /// `make`, or `None` if the table is full.
     pub fn insert<E>(&mut self, make: impl FnOnce(Key) -> Result<T, E>) -> Option<Result<Key, E>> {
         if self.is_full() {
             return None;
@@ -56,12 +56,12 @@
         Some(inserted.map(from_table_key))
     }
 
-    /// The entry with this key.
+    /// Returns the entry with this key.
     pub fn get(&self, key: Key) -> Option<&T> {
         self.table.get(to_table_key(key))
     }
 
-    /// The entry with this key, for changes.
+    /// Returns a mutable reference to the entry with this key.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         self.table.get_mut(to_table_key(key))
     }
