--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The endpoint list, received over a persistent stream. Tracks its version and passes changes on
-//! to the policy and to the connections to endpoints.
+//! Receives the endpoint list over a persistent stream, tracks its version, and applies changes to
+//! the policy and to the endpoint connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,29 +14,31 @@
 use crate::stream::{LineError, PersistentStream, StreamTimeouts};
 use crate::upstream::{EndpointListing, Upstream};
 
-/// Three intervals of the keep-alive lines that discovery sends while nothing changes.
+/// A stream of the local agent that sends no line for this long is reopened. This is three
+/// intervals of the keep-alive lines that discovery sends while nothing changes.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(6000);
-/// One service for all instances accepts few calls a second and queues the others. A client that
-/// gives up early causes a retry storm: the service does its work in vain and is called again. An
-/// instance is held to what the service has sent 6 s after its stream fell silent.
+/// A service shared by all instances accepts few calls a second and queues the others. Short time
+/// limits would cause a retry storm: the service would do work whose result is discarded, and be
+/// called again. An instance is required to act on what the service has sent from 6 s after the
+/// last line of its stream.
 const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     silence: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
 };
-/// An agent on the host of this instance responds immediately and without cost. After a silence the
-/// instance is held immediately to everything that the agent knows: the start of a response and a
-/// backoff together have to stay below the grace period.
+/// An agent on the host of this instance responds immediately, and calls to it are cheap. Once the
+/// keep-alive timeout has passed, the instance is required to act on all that the agent knows:
+/// `response_start` and `max_backoff` together have to stay below the grace period.
 const LOCAL_AGENT_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
     max_backoff: Duration::from_millis(200),
     ..StreamTimeouts::responsive_server(KEEP_ALIVE_TIMEOUT)
 };
-/// A change of the list arrives within this time over each of the streams.
+/// Maximum time until a change of the list has arrived over every stream.
 const PROPAGATION_TIME: Duration = Duration::from_millis(6000);
 
-/// The server of the endpoint list.
+/// The kind of server that provides the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// An agent on the host of this instance, which pushes changes.
@@ -54,20 +56,21 @@
     }
 }
 
-/// The version of the current list, and since when it is current.
+/// The version of the current list, and when it was confirmed and changed.
 #[derive(Default)]
 struct ListVersionState {
     version: u64,
-    /// When discovery last confirmed the list; the origin of time if it never has.
+    /// When discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before the
+    /// first line.
     confirmed_at: Timestamp,
     /// When the version last changed.
     changed_at: Timestamp,
 }
 
 impl ListVersionState {
-    /// Whether a list is applied. During a hand-over between two streams, one of them may deliver
-    /// older versions. A complete list that is still older after the propagation time is accepted:
-    /// discovery has restarted its count.
+    /// Whether a received list should be applied. While a new stream replaces another, one of them
+    /// may deliver older versions, which are ignored. A complete list that is still older after the
+    /// propagation time is accepted: discovery has restarted its version numbers.
     fn accepts(&self, list: &EndpointList, now: Timestamp) -> bool {
         let is_older = list.version < self.version;
         let has_settled = now >= self.changed_at + PROPAGATION_TIME;
@@ -89,7 +92,7 @@
 }
 
 impl Discovery {
-    /// Not open yet.
+    /// Creates the stream without opening it.
     pub fn new(address: SocketAddr, source: ListSource, seed: u64) -> Discovery {
         let timeouts = source.timeouts();
         Discovery {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Applies the list in the configuration, which is used until the stream delivers one.
+    /// Applies the list from the configuration, which is used until the stream delivers one.
     pub fn apply_configured_list(
         &mut self,
         list: &EndpointList,
@@ -114,7 +117,8 @@
         self.list.version
     }
 
-    /// When discovery last confirmed the list; the origin of time if it never has.
+    /// When discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before the
+    /// first line.
     pub fn list_confirmed_at(&self) -> Timestamp {
         self.list.confirmed_at
     }
@@ -123,29 +127,29 @@
         format!("/discovery/hosts?follow=1&since={}", self.list.version)
     }
 
-    /// Opens the stream from the current version on.
+    /// Opens the stream, which delivers changes since the current version.
     pub fn open(&mut self, context: &mut IoContext) {
         self.stream.open(&self.path(), context);
     }
 
-    /// Moves to another address. Returns whether it differs from the current one.
+    /// Switches the stream to another address. Returns whether it differs from the current one.
     pub fn change_address(&mut self, address: SocketAddr, context: &mut IoContext) -> bool {
         self.stream.change_address(address, &self.path(), context)
     }
 
-    /// A deadline of the stream has expired.
+    /// Handles an expired deadline of the stream.
     pub fn on_deadline(&mut self, slot: SlotKey, context: &mut IoContext) {
         if self.stream.on_deadline(slot, context) {
             self.open(context);
         }
     }
 
-    /// A socket of the stream became ready.
+    /// Records that a socket of the stream became ready.
     pub fn on_ready(&mut self, slot: SlotKey, readiness: Readiness) {
         self.stream.on_ready(slot, readiness);
     }
 
-    /// Reads from the stream and applies the lists received.
+    /// Reads from the stream and applies the received lists.
     pub fn serve(&mut self, upstream: &mut Upstream, context: &mut EventContext<'_>) {
         let progress = &mut self.list;
         let policy = &mut *context.policy;
@@ -167,7 +171,7 @@
     }
 }
 
-/// Notifies the policy of the listed endpoints, and updates the connections to them.
+/// Passes the listed endpoints to the policy, and updates the connections to them.
 fn apply(list: &EndpointList, upstream: &mut Upstream, context: &mut EventContext<'_>) {
     if list.is_complete {
         context.policy.on_complete_endpoint_list();
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop. Each iteration waits for events, delivers them to the policy, carries out its
-//! decisions, and lets the snapshot writer collect a slice.
+//! The event loop. Each iteration waits for events, delivers them to the policy, carries out the
+//! decisions of the policy, and lets the snapshot writer collect a slice of the state.
 
 use std::cell::RefCell;
 use std::io;
@@ -23,19 +23,19 @@
 use crate::resource_budget::BufferBudget;
 use crate::snapshot_writer::{self, SnapshotWriter};
 
-/// An iteration that starts this long after its deadline is logged.
+/// An iteration that starts more than this after its deadline is logged.
 const MAX_ITERATION_DELAY: Duration = Duration::from_millis(50);
 
 /// Why the event loop could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    /// The system offers no event queue, or it failed.
+    /// The event queue of the system could not be created or polled.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
     /// Signals cannot be received.
-    #[error("signals: {0}")]
+    #[error("cannot receive signals: {0}")]
     Signals(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The address for clients cannot be listened on.
+    /// The proxy cannot listen on the address for clients.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
@@ -48,30 +48,30 @@
     Proxy(#[from] ProxyError),
 }
 
-/// Whether the loop continues after an iteration.
+/// Whether the event loop continues after an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopState {
-    /// It continues.
+    /// The event loop continues.
     Running,
-    /// The proxy has drained after SIGTERM.
+    /// The proxy has shut down after SIGTERM.
     Finished,
 }
 
-/// When the next iteration starts unless events come before.
+/// When the next iteration starts if no socket becomes ready and no signal arrives before.
 struct Schedule {
     /// The earliest deadline.
     next_deadline: Option<Timestamp>,
-    /// How long to wait for events; `None` for no limit.
+    /// How long to wait for events; `None` to wait without limit.
     timeout: Option<Duration>,
 }
 
-/// A proxy instance, from its first iteration to its last.
+/// A proxy instance and the event loop that drives it.
 pub struct ProxyInstance {
     event_loop: EventLoop<'static, ReadyEvents>,
     events: ReadyEvents,
     clock: Clock,
     proxy: RefCell<Proxy>,
-    /// The policy that decides.
+    /// The policy, which decides about requests, attempts and votes.
     pub policy: Balancer,
     snapshot_writer: Option<SnapshotWriter>,
     /// Duration of the longest iteration so far.
@@ -80,13 +80,13 @@
 
 impl ProxyInstance {
     /// Starts an instance and runs its first iteration. The configuration is read again from
-    /// `config_path` at SIGHUP. `listen` is called after signals have been set up: clients that
-    /// connect from then on are always answered.
+    /// `config_path` on SIGHUP. `listen` is called after signals have been set up, so that clients
+    /// that connect from then on are answered even if SIGTERM arrives.
     ///
     /// # Errors
     ///
-    /// The system refuses an event queue, signals or the listening socket, or the limits are too
-    /// low.
+    /// The event queue, signal handling or the listening socket cannot be set up, or the configured
+    /// limits are too low.
     pub fn new(
         config: &Config,
         config_path: PathBuf,
@@ -125,8 +125,8 @@
         Ok(instance)
     }
 
-    /// Restores what an earlier process has learned, as far as it still counts, and writes
-    /// snapshots from now on. Does nothing if the operators' file names no folder for snapshots.
+    /// Restores the state from the snapshot of an earlier process, as far as it is still valid, and
+    /// starts to write snapshots. Does nothing if the operators' file names no snapshot folder.
     pub fn enable_snapshots(&mut self, operators: &Operators) {
         let Some(settings) = &operators.snapshot else {
             return;
@@ -151,7 +151,7 @@
         self.snapshot_writer = Some(snapshot_writer);
     }
 
-    /// Waits for events or a deadline and handles them.
+    /// Waits for events or the next deadline, and handles them.
     ///
     /// # Errors
     ///
@@ -226,7 +226,7 @@
             .step(now, &mut events, &mut Decisions(&self.proxy));
     }
 
-    /// Everything in an iteration happens at the same time.
+    /// Reads the clock once for an iteration: all its events and decisions have the same time.
     fn update_time(&self) -> Timestamp {
         let now = self.clock.now();
         self.proxy.borrow_mut().context.now = now;
@@ -263,11 +263,11 @@
     Ok(())
 }
 
-/// Serves until SIGTERM, then drains and returns.
+/// Serves clients until SIGTERM, then drains and returns.
 ///
 /// # Errors
 ///
-/// Those of [`ProxyInstance::new`] and [`ProxyInstance::run_iteration`].
+/// The errors of [`ProxyInstance::new`] and [`ProxyInstance::run_iteration`].
 pub fn run(
     config: &Config,
     operators: &Operators,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,7 @@
-//! SIGHUP: reads the configuration again and moves the control streams to its addresses.
+//! Configuration reload on SIGHUP: reads the configuration again, and switches the control streams
+//! and the votes to its addresses.
 //!
-//! Only addresses change; the endpoint list and the rollout status are kept. An invalid
+//! Only addresses change. The endpoint list and the rollout status are kept, and an invalid
 //! configuration changes nothing.
 
 use std::path::Path;
@@ -16,13 +17,13 @@
 pub struct ReloadTargets<'a> {
     /// The stream of the endpoint list.
     pub discovery: &'a mut Discovery,
-    /// The rollout status stream.
+    /// The stream of the rollout status.
     pub rollout_status: &'a mut RolloutStatusStream,
     /// The connection for votes.
     pub votes: &'a mut Votes,
 }
 
-/// Applies the configuration at `path` if it is valid.
+/// Applies the addresses of the configuration file at `path` if the file is valid.
 pub fn reload(path: &Path, targets: ReloadTargets<'_>, context: &mut IoContext) {
     let config = match config::read_file(path) {
         Ok(config) => config,
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -1,38 +1,38 @@
-//! Splits descriptors and buffer memory among clients, endpoints and control streams.
+//! Divides file descriptors and buffer memory among clients, endpoints and control streams.
 
 use crate::buffers::{self, Pool};
 
-/// Descriptors for standard streams, the event loop and the listener, and some spare ones.
+/// Descriptors for the standard streams, the event loop and the listener, and some spare ones.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors for the streams of the endpoint list and the rollout status and the connection for
-/// votes, twice each for a hand-over.
+/// Descriptors for the endpoint list, the rollout status and the votes: two each, because a new
+/// connection may be opened before the old one is closed.
 const CONTROL_DESCRIPTORS: usize = 6;
-/// Endpoints get one in this number of the remaining descriptors. Clients use at most a third of
-/// all descriptors for requests; the rest of their half is for clients that have to be sent an
-/// error before they are closed.
+/// The remaining descriptors divided by this are for endpoints, and the others for clients. Clients
+/// use at most a third of all descriptors for requests; the rest of their half is for clients that
+/// have to be sent an error before they are closed.
 const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 2;
-/// Idle clients may hold one in this number of all descriptors: less than half of those that
-/// clients use for requests.
+/// The descriptor limit divided by this is the maximum number of idle clients. It is less than half
+/// of the descriptors that clients use for requests.
 const IDLE_CLIENT_DIVISOR: usize = 8;
-/// Buffers may use one in this number of the bytes of memory.
+/// Buffers may use the memory of the process divided by this.
 const BUFFER_MEMORY_DIVISOR: usize = 3;
-/// Buffers for input from discovery and the platform; of the rest, half is for clients and half for
-/// endpoints.
+/// Number of buffers for input from discovery and the platform. They are taken from the half of all
+/// buffers that is not for clients; endpoints get the rest of that half.
 const CONTROL_BUFFERS: usize = 64;
 
-/// Most connections of each kind at a time.
+/// Maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
-    /// Connections to endpoints.
+    /// Endpoint connections.
     pub endpoints: usize,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
-    /// Idle connections of clients.
+    /// Idle client connections.
     pub idle_clients: usize,
 }
 
 impl ConnectionBudget {
-    /// Splits a limit on descriptors; `None` if it is too small to serve requests.
+    /// Splits a limit on file descriptors. Returns `None` if it is too small to serve requests.
     pub fn split(descriptor_limit: usize) -> Option<ConnectionBudget> {
         let available = descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS);
         if available < ENDPOINT_DESCRIPTOR_DIVISOR {
@@ -47,7 +47,7 @@
     }
 }
 
-/// The pools of buffers for input.
+/// The buffer pools.
 pub struct BufferBudget {
     /// For input from endpoints, and for all output.
     pub endpoints: Pool,
@@ -58,7 +58,7 @@
 }
 
 impl BufferBudget {
-    /// Splits the memory that the process may use, in MiB.
+    /// Splits the part of the process's memory limit, in MiB, that buffers may use.
     pub fn split(memory_mb: usize) -> BufferBudget {
         let buffers =
             memory_mb.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_SIZE;
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,28 +1,29 @@
-//! The states of a shutdown after SIGTERM: running, draining until a deadline, finished. No I/O.
+//! The state machine of the shutdown after SIGTERM: running, draining, finished. No I/O.
 //!
-//! While it drains, the proxy accepts clients for a while, answers all requests, and exits once
-//! nothing is pending or at the deadline. It never returns to an earlier state.
+//! While draining, the proxy accepts clients for a limited period and answers all requests. It
+//! exits once nothing is pending, or at the shutdown deadline. It never returns to an earlier
+//! state.
 
 use std::time::Duration;
 
 use tidescale_policy::types::Timestamp;
 
-/// Time after SIGTERM in which clients may still connect, and their requests are answered.
+/// Time after SIGTERM in which clients may still connect and have their requests answered.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// SIGKILL follows after the accept period and the longest time limit of a request, of which at
-/// most this counts.
+/// Upper bound on the longest time limit of a request in the calculation of when SIGKILL arrives,
+/// which is after the accept period and that time limit.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
-/// Responses have to be sent this long before SIGKILL.
+/// Attempts end this long before SIGKILL, so that their responses can still be sent.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// When a drain ends.
+/// The deadlines of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// Clients may connect until then; the proxy does not exit before.
+    /// Clients may connect until then. The proxy does not exit before.
     pub accept_until: Timestamp,
-    /// Attempts in flight end by then.
+    /// Attempts in flight end at the latest then.
     pub attempt_deadline: Timestamp,
-    /// The proxy exits then, even with requests pending.
+    /// The proxy exits at the latest then, even with requests pending.
     pub shutdown_deadline: Timestamp,
 }
 
@@ -31,7 +32,7 @@
     Running,
     Draining {
         times: DrainTimes,
-        /// Nothing was pending at the last check.
+        /// Nothing was pending at the previous check.
         was_idle: bool,
     },
     Finished,
@@ -40,11 +41,11 @@
 /// What the event loop has to do at the end of an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Continue.
+    /// Run another iteration.
     Continue,
-    /// Nothing is pending: accept clients that have connected meanwhile, then check again.
+    /// Nothing is pending. Accept clients that have connected in the meantime, then check again.
     AcceptOnceMore,
-    /// Exit.
+    /// Exit the process.
     Finish,
 }
 
@@ -56,7 +57,8 @@
 }
 
 impl Shutdown {
-    /// The proxy runs; `longest_request_deadline` is the longest time limit of a request.
+    /// Starts in the running state. `longest_request_deadline` is the longest time limit of a
+    /// request.
     pub fn new(longest_request_deadline: Duration) -> Shutdown {
         Shutdown {
             state: State::Running,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Starts to drain; `None` if it drains already.
+    /// Starts to drain. Returns `None` if the shutdown has already begun.
     pub fn begin(&mut self, now: Timestamp) -> Option<DrainTimes> {
         if self.state != State::Running {
             return None;
@@ -83,8 +85,8 @@
         Some(times)
     }
 
-    /// What to do now. `is_idle` returns whether nothing is pending; it is called only after the
-    /// accept period.
+    /// Advances the shutdown and returns what the event loop has to do. `is_idle` returns whether
+    /// nothing is pending; it is called only after the accept period.
     pub fn step(&mut self, now: Timestamp, is_idle: impl FnOnce() -> bool) -> ShutdownStep {
         let State::Draining { times, was_idle } = &mut self.state else {
             return match self.state {
@@ -95,7 +97,7 @@
         if now < times.accept_until {
             return ShutdownStep::Continue;
         }
-        // A client that does not read its response must not hold up the end.
+        // At the deadline the proxy exits even if a client does not read its response.
         let is_overdue = now >= times.shutdown_deadline;
         let idle_before = std::mem::replace(was_idle, is_idle());
         match (*was_idle, idle_before) {
