--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,7 +1,7 @@
-//! All components on sockets, and what they do in an event-loop iteration before the policy
-//! decides.
+//! All components that own sockets, and the order in which they handle the events of an event-loop
+//! iteration.
 //!
-//! One thread owns everything. Within an iteration, the endpoint list and the rollout status are
+//! One thread owns all state. Within an iteration, the endpoint list and the rollout status are
 //! handled before endpoints and clients, because the decisions about the latter depend on them.
 
 mod decisions;
@@ -34,26 +34,26 @@
 use crate::upstream::Upstream;
 use crate::votes::Votes;
 
-/// Wakes the event loop when the accept period after SIGTERM ends.
+/// Owner of the deadline at the end of the accept period after SIGTERM.
 const ACCEPT_PERIOD_TIMER: Owner = Owner::new(Component::Shutdown, SlotKey::new(0));
-/// Wakes the event loop when the process has to exit.
+/// Owner of the deadline at which the process has to exit.
 const SHUTDOWN_DEADLINE_TIMER: Owner = Owner::new(Component::Shutdown, SlotKey::new(1));
 
 /// Why the components cannot be set up.
 #[derive(Debug, Error)]
 pub enum ProxyError {
-    /// The listening socket cannot be used.
-    #[error("listener: {0}")]
+    /// The listening socket cannot be set up.
+    #[error("cannot set up the listening socket: {0}")]
     Listener(#[source] io::Error),
     /// The configured limit leaves no descriptors for clients or endpoints.
-    #[error("limits: {limit} sockets are too few")]
+    #[error("limits.sockets: {limit} leaves no descriptors for clients or endpoints")]
     TooFewDescriptors {
         /// The configured limit.
         limit: usize,
     },
 }
 
-/// All connections and their state.
+/// All components, with their connections and state.
 pub(crate) struct Proxy {
     pub(crate) context: IoContext,
     clients: Clients,
@@ -62,12 +62,12 @@
     rollout_status: RolloutStatusStream,
     votes: Votes,
     shutdown: Shutdown,
-    /// The configuration file that is read again at SIGHUP.
+    /// The configuration file, which is read again on SIGHUP.
     config_path: PathBuf,
 }
 
 impl Proxy {
-    /// A proxy that accepts clients from `listener`; no control stream is open yet.
+    /// Creates a proxy that accepts clients from `listener`. No control stream is open yet.
     pub(crate) fn new(
         config: &Config,
         config_path: PathBuf,
@@ -103,7 +103,7 @@
         })
     }
 
-    /// What snapshots contain besides the state of the policy.
+    /// The state that snapshots contain in addition to the state of the policy.
     pub(crate) fn directory(&self) -> EndpointDirectory<'_> {
         EndpointDirectory {
             upstream: &self.upstream,
@@ -112,14 +112,14 @@
         }
     }
 
-    /// There is work to do before a socket becomes ready or a deadline expires.
+    /// Whether there is work to do without waiting for a socket or a deadline.
     pub(crate) fn has_pending_work(&self) -> bool {
         self.clients.has_pending_work(&self.context)
             || self.upstream.has_pending_work(&self.context)
             || self.votes.has_pending_work()
     }
 
-    /// Whether the process has to exit; called at the end of each iteration.
+    /// Whether the process has to exit. Called at the end of each iteration.
     pub(crate) fn is_finished(&mut self) -> bool {
         let clients = &self.clients;
         match self.shutdown.step(self.context.now, || clients.is_idle()) {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Applies the endpoint list and the rollout status in the configuration, and opens the streams
-    /// that deliver newer ones.
+    /// Applies the endpoint list and the rollout status from the configuration, and opens the
+    /// streams that deliver newer ones.
     fn start(&mut self, config: &Config, policy: &mut Balancer) {
         let mut context = EventContext {
             io: &mut self.context,
@@ -151,7 +151,7 @@
         self.rollout_status.open(context.io);
     }
 
-    /// The steps of an iteration, in this order.
+    /// Handles the events of an iteration. The order matters; see the module documentation.
     fn deliver_events(&mut self, events: &mut ReadyEvents, policy: &mut Balancer) {
         self.handle_signals(events, policy);
         self.notify_failed_starts(policy);
@@ -190,16 +190,16 @@
         deadlines.set(SHUTDOWN_DEADLINE_TIMER, times.shutdown_deadline);
     }
 
-    /// Notifies the policy of attempts and votes that failed while its last decisions were carried
-    /// out.
+    /// Notifies the policy of attempts and votes that failed while the decisions of the previous
+    /// iteration were carried out.
     fn notify_failed_starts(&mut self, policy: &mut Balancer) {
         self.upstream
             .notify_ended_exchanges(&mut self.clients, policy);
         self.votes.notify_failed_vote(policy);
     }
 
-    /// Records which sockets became ready. Returns the endpoints and votes to serve; clients are
-    /// recorded as pending.
+    /// Records which sockets became ready. Returns the endpoint and vote connections to serve;
+    /// ready clients are recorded as pending instead.
     fn record_readiness(&mut self, events: &mut ReadyEvents) -> Vec<Owner> {
         let mut ready: Vec<Owner> = Vec::new();
         for (owner, readiness) in events.sockets.drain(..) {
@@ -213,8 +213,8 @@
 
     fn serve_control_and_endpoints(&mut self, ready: Vec<Owner>, policy: &mut Balancer) {
         let mut owners = ready;
-        // Streams are served in each iteration, because the last one may have left bytes unread for
-        // lack of buffers.
+        // Control streams are served in each iteration, because the previous one may have left
+        // bytes unread when their buffer pool was exhausted.
         owners.push(Owner::only(Component::EndpointList));
         owners.push(Owner::only(Component::RolloutStatus));
         owners.extend(
@@ -223,7 +223,8 @@
                 .into_iter()
                 .map(Owner::endpoint),
         );
-        // Votes and control streams come first: the policy handles the rest by what they deliver.
+        // Votes and control streams come first: how the policy handles the endpoints depends on
+        // what they deliver.
         owners.sort_unstable_by_key(|owner| Reverse(*owner));
         owners.dedup();
         for owner in owners {
--- a/crates/proxy/src/proxy/decisions.rs
+++ b/crates/proxy/src/proxy/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of the policy on the connections of the proxy.
+//! Carries out the decisions of the policy on the proxy's connections.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::log_lines;
 use crate::upstream::NewExchange;
 
-/// Wakes the event loop for the next step of the policy.
+/// Owner of the deadline for the next step of the policy.
 const POLICY_TIMER: Owner = Owner::only(Component::Policy);
 
-/// Receives the decisions of a step.
+/// Receives the decisions that the policy makes in a step.
 pub(crate) struct Decisions<'a>(pub(crate) &'a RefCell<Proxy>);
 
 impl Decisions<'_> {
@@ -57,7 +57,8 @@
         self.start(NewExchange::health_check(endpoint, deadline));
     }
 
-    /// Does nothing: the stream of the endpoint list is always open or about to be opened.
+    /// Does nothing: the endpoint list is received over a stream that is always open or about to be
+    /// reopened.
     fn poll_endpoints(&mut self) {}
 
     fn schedule_wake_up(&mut self, after: Duration) {
--- a/crates/proxy/src/proxy/dispatch.rs
+++ b/crates/proxy/src/proxy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes readiness, iterations and deadlines on to the component that owns them.
+//! Dispatches readiness events and expired deadlines to the components that own them.
 
 use calloop::Readiness;
 use tidescale_policy::Balancer;
@@ -8,7 +8,7 @@
 use crate::upstream::{ExchangeContext, Upstream};
 
 impl Proxy {
-    /// A socket of the owner became ready.
+    /// Records that a socket of the owner became ready.
     pub(super) fn on_ready(&mut self, owner: Owner, readiness: Readiness) {
         match owner.component {
             Component::Listener => self.clients.on_accept_ready(),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A deadline of the owner has expired.
+    /// Handles an expired deadline of the owner.
     pub(super) fn on_deadline(&mut self, owner: Owner, policy: &mut Balancer) {
         if owner.component == Component::Endpoint {
             let key = owner.slot.into();
@@ -64,8 +64,7 @@
         }
     }
 
-    /// Closes the connection of the owner, or opens its stream again, after its handler has
-    /// panicked.
+    /// Closes the connection of the owner, or reopens its stream, after its handler has panicked.
     pub(super) fn reset_after_panic(&mut self, owner: Owner, policy: &mut Balancer) {
         if owner.component == Component::Endpoint {
             let key = owner.slot.into();
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Runs a handler of the connections to endpoints.
+    /// Runs a handler of the endpoint connections with the context that it needs.
     fn with_upstream(
         &mut self,
         policy: &mut Balancer,
--- a/crates/proxy/src/proxy/events.rs
+++ b/crates/proxy/src/proxy/events.rs
@@ -1,4 +1,5 @@
-//! The event sources of the policy: that of the first iteration and that of all others.
+//! The event sources that the policy reads from: one for the first iteration, and one for all later
+//! iterations.
 
 use std::cell::RefCell;
 
@@ -20,7 +21,7 @@
     }
 }
 
-/// The events of the first iteration: the contents of the configuration come first.
+/// The events of the first iteration, preceded by the contents of the configuration.
 pub(crate) struct StartEvents<'a> {
     pub(crate) config: &'a Config,
     pub(crate) iteration: IterationEvents<'a>,
--- a/crates/proxy/src/proxy/panic_isolation.rs
+++ b/crates/proxy/src/proxy/panic_isolation.rs
@@ -1,5 +1,5 @@
-//! The one place where panics are caught: a panic closes the connection whose handler panicked, and
-//! nothing else.
+//! Isolation of panics: a panic in a handler closes only the connection that it served. Panics are
+//! caught nowhere else.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -10,7 +10,8 @@
 use crate::log_lines;
 
 impl Proxy {
-    /// Runs a handler on behalf of an owner. If it panics, the connection of the owner is closed.
+    /// Runs a handler on behalf of an owner. If the handler panics, closes the connection of the
+    /// owner or reopens its stream.
     pub(super) fn run_isolated(
         &mut self,
         owner: Owner,
