--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -4,16 +4,16 @@
 
 use super::arrivals::Arrivals;
 use super::stages::Stage;
-use crate::buffers::{Pool, SIZE};
+use crate::buffers::{BUFFER_SIZE, Pool};
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
 /// Bytes read ahead while a request is pending. Also the limit on unwritten output, at which no
 /// further message of a client that sends without reading is handled.
-const READ_AHEAD: usize = SIZE;
+const READ_AHEAD: usize = BUFFER_SIZE;
 /// Bytes read ahead while more than half of the buffers are free. A request's time limit counts
 /// from when it is read, so that reading early measures its arrival more precisely.
-const EXTENDED_READ_AHEAD: usize = 16 * SIZE;
+const EXTENDED_READ_AHEAD: usize = 16 * BUFFER_SIZE;
 /// Bytes discarded after an error without waiting for another readiness event. Closing a socket
 /// with unread input resets the connection, and the client could not read the error.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
@@ -126,13 +126,13 @@
     /// Whether there may be another message to handle.
     pub(super) fn may_have_message(&self) -> bool {
         let next = || complete_frame::<ClientMessage>(&self.connection.input);
-        self.connection.has_more() || self.is_open() && next() != Ok(None)
+        self.connection.may_be_readable() || self.is_open() && next() != Ok(None)
     }
 
     /// The number of input bytes to read: the complete next message if it can be handled, otherwise
     /// only the read-ahead.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
-        let read_ahead = if self.is_open() && pool.is_ample() {
+        let read_ahead = if self.is_open() && pool.is_mostly_free() {
             EXTENDED_READ_AHEAD
         } else {
             READ_AHEAD
@@ -180,6 +180,6 @@
             ClientState::Closing { discarded } => discarded < MAX_DISCARDED_BYTES,
             _ => false,
         };
-        is_within_limit && self.connection.has_more()
+        is_within_limit && self.connection.may_be_readable()
     }
 }
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -24,12 +24,12 @@
         }
         // With unread input, the connection is served again: the input may be a request.
         let is_done = self.is_shutting_down && client.is_done_at_shutdown();
-        if is_done && client.connection.is_silent() {
+        if is_done && client.connection.read_would_block() {
             return self.close(key, context);
         }
         let stage = client.stage();
         if stage == Stage::Closing && client.connection.output.is_empty() {
-            client.connection.end_sending();
+            client.connection.shutdown_write();
         }
         // A connection in `starved` is served again once buffers are free.
         let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
@@ -59,7 +59,7 @@
         let has_sent_nothing = |key: &ClientKey| {
             self.connections
                 .get(*key)
-                .is_some_and(|client| client.connection.is_silent())
+                .is_some_and(|client| client.connection.read_would_block())
         };
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
@@ -91,7 +91,7 @@
         if context.io.now < deadline {
             return context.io.deadlines.set(owner, deadline);
         }
-        if entry.stage != Stage::Closing && !client.connection.is_silent() {
+        if entry.stage != Stage::Closing && !client.connection.read_would_block() {
             // Bytes are unread, because no buffer was free or because of the limit on reads: they
             // may hold a complete request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -15,7 +15,7 @@
 impl Clients {
     /// Forwards the response of an endpoint to the client.
     pub fn complete_request(&mut self, id: RequestId, response: &mut Chain) {
-        self.respond(id, |output| response.pass(response.len(), output));
+        self.respond(id, |output| response.move_to(response.len(), output));
     }
 
     /// Responds that an endpoint has rejected the request as invalid.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -131,7 +131,7 @@
     pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
         let input = &mut self.connection.input;
         body.clear();
-        input.copy(MESSAGE_HEADER_SIZE..frame.length, body);
+        input.copy_to(MESSAGE_HEADER_SIZE..frame.length, body);
         input.skip(frame.length);
     }
 
@@ -149,7 +149,7 @@
         body.clear();
         self.connection
             .input
-            .copy(MESSAGE_HEADER_SIZE..frame.length, body);
+            .copy_to(MESSAGE_HEADER_SIZE..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
             _ => return Err(ResponseError::Unrequested),
@@ -179,7 +179,7 @@
         }
         self.connection
             .input
-            .pass(frame.length, &mut exchange.response);
+            .move_to(frame.length, &mut exchange.response);
         Ok(())
     }
 }
