--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -5,7 +5,7 @@
 
 use parquet::errors::ParquetError;
 use plotters::drawing::DrawingAreaErrorKind;
-use tidescale_snapshot::crash_history::BrokenHistory;
+use tidescale_snapshot::crash_history::CrashHistoryError;
 use tidescale_snapshot::directory::LockError;
 use tidescale_snapshot::format::FormatError;
 use tidescale_snapshot::store::SaveError;
@@ -59,7 +59,7 @@
 
     /// A history on the simulated disk did not read back whole.
     #[error(transparent)]
-    History(#[from] BrokenHistory),
+    History(#[from] CrashHistoryError),
     /// An injected fault was not caught.
     #[error("{fault_name} is not caught within {histories} histories")]
     FaultNotCaught {
--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -15,7 +15,7 @@
 use tidescale_snapshot::expiry::{self, ProcessMatch};
 use tidescale_snapshot::format::{self, Snapshot};
 use tidescale_snapshot::records::{Process, Record};
-use tidescale_snapshot::store::{self, Opened, Quarantine, UnusableFile};
+use tidescale_snapshot::store::{self, Quarantine, StoreContents, UnusableFile};
 
 use super::CliError;
 
@@ -108,15 +108,15 @@
 }
 
 /// Reads the newest complete snapshot of a directory, or one file.
-fn read_newest(path: &Path) -> Result<Opened, CliError> {
+fn read_newest(path: &Path) -> Result<StoreContents, CliError> {
     if path.is_dir() {
-        return Ok(store::newest(&mut Directory::without_lock(path)));
+        return Ok(store::read_newest(&mut Directory::without_lock(path)));
     }
     let bytes = read_file(path).map_err(|source| CliError::Read {
         path: path.into(),
         source,
     })?;
-    let mut opened = Opened::default();
+    let mut opened = StoreContents::default();
     match format::decode(&bytes) {
         Ok(snapshot) => opened.snapshot = Some(snapshot),
         Err(error) => opened.unusable_files.push(UnusableFile {
--- a/crates/snapshot/src/crash_history.rs
+++ b/crates/snapshot/src/crash_history.rs
@@ -11,7 +11,7 @@
 
 use crate::format::{self, FormatError, HEADER_BYTES, Snapshot};
 use crate::records::{KeyBuildRecord, Record};
-use crate::simulated_disk::{FaultPlan, PlantedFault, SimulatedDisk};
+use crate::simulated_disk::{FaultPlan, InjectedFault, SimulatedDisk};
 use crate::store::{Decoder, Store};
 
 use progress::Progress;
@@ -61,7 +61,7 @@
 /// A history with a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("seed {seed}, power lost at step {step}: {violation}")]
-pub struct BrokenHistory {
+pub struct CrashHistoryError {
     /// Seed of the history.
     pub seed: u64,
     /// The step of the first power loss.
@@ -93,18 +93,18 @@
 /// # Errors
 ///
 /// The first violation.
-pub fn play(
+pub fn simulate(
     seed: u64,
-    planted_fault: PlantedFault,
+    injected_fault: InjectedFault,
     decode: Decoder,
-) -> Result<CrashStats, BrokenHistory> {
+) -> Result<CrashStats, CrashHistoryError> {
     let mut rng = Rand64::new(u128::from(seed));
     let first_life_saves = 1 + rng.rand_u64() % MAX_FIRST_LIFE_SAVES;
     let mut history = History {
         seed,
         faults: FaultPlan {
             random_faults: rng.rand_u64().is_multiple_of(2),
-            planted_fault,
+            injected_fault,
             power_loss_at: None,
         },
         first_life_saves,
@@ -113,13 +113,14 @@
         stats: CrashStats::default(),
     };
     for step in 1.. {
-        let power_lost = history
-            .play_power_loss_at(step)
-            .map_err(|violation| BrokenHistory {
-                seed,
-                step,
-                violation,
-            })?;
+        let power_lost =
+            history
+                .play_power_loss_at(step)
+                .map_err(|violation| CrashHistoryError {
+                    seed,
+                    step,
+                    violation,
+                })?;
         if !power_lost {
             break;
         }
@@ -148,7 +149,7 @@
             ..self.faults
         };
         let mut progress = Progress {
-            bit_rot: faults.planted_fault == PlantedFault::BitRot,
+            bit_rot: faults.injected_fault == InjectedFault::BitRot,
             ..Progress::default()
         };
         let new_disk = SimulatedDisk::new(self.seed, faults);
--- a/crates/snapshot/src/crash_history/progress.rs
+++ b/crates/snapshot/src/crash_history/progress.rs
@@ -21,7 +21,7 @@
     },
     /// The snapshot found was never written with this content.
     #[error("snapshot {0} is a mixture")]
-    Mixture(u64),
+    ContentMismatch(u64),
 }
 
 /// The saves of a history so far.
@@ -79,7 +79,7 @@
             });
         }
         if snapshot.records != records_of(number) {
-            return Err(Violation::Mixture(number));
+            return Err(Violation::ContentMismatch(number));
         }
         Ok(number)
     }
--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -139,7 +139,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
--- a/crates/snapshot/src/disk.rs
+++ b/crates/snapshot/src/disk.rs
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// After a failure, a power loss may undo any of the changes since the last success.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 
     /// The names in the directory, in order.
     ///
--- a/crates/snapshot/src/simulated_disk.rs
+++ b/crates/snapshot/src/simulated_disk.rs
@@ -28,14 +28,14 @@
 
 /// A fault planted on purpose, to show that the tests can fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     /// No planted fault.
     #[default]
     None,
     /// Syncs of files do nothing.
     SkippedFileSync,
     /// Syncs of names do nothing.
-    SkippedNameSync,
+    SkippedDirectorySync,
     /// The first power loss also flips one durable bit: the one fault that only a checksum detects.
     BitRot,
 }
@@ -46,7 +46,7 @@
     /// Whether single steps fail at random without a power loss.
     pub random_faults: bool,
     /// The fault that is planted on purpose.
-    pub planted_fault: PlantedFault,
+    pub injected_fault: InjectedFault,
     /// The step at which the power fails, counted from 1; `None` for never.
     pub power_loss_at: Option<u64>,
 }
@@ -124,10 +124,10 @@
         for file in &mut self.files {
             *file = file.after_power_loss(|| coin(&mut rng));
         }
-        if self.faults.planted_fault == PlantedFault::BitRot {
+        if self.faults.injected_fault == InjectedFault::BitRot {
             self.rot_one_bit(&mut rng);
             // Two generations tolerate one flipped bit, not one in each of them.
-            self.faults.planted_fault = PlantedFault::None;
+            self.faults.injected_fault = InjectedFault::None;
         }
         self.faults.power_loss_at = power_loss_at;
         SimulatedDisk {
@@ -261,7 +261,7 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let fails = self.begin_step()?.is_some();
         let is_skipped =
-            self.faults.planted_fault == PlantedFault::SkippedFileSync || self.power_lost;
+            self.faults.injected_fault == InjectedFault::SkippedFileSync || self.power_lost;
         let file = self.file(name)?;
         if fails {
             file.drop_dirty();
@@ -299,11 +299,11 @@
         self.check_power()
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         if self.begin_step()?.is_some() {
             return Err(io::Error::other("input/output error"));
         }
-        if self.faults.planted_fault != PlantedFault::SkippedNameSync && !self.power_lost {
+        if self.faults.injected_fault != InjectedFault::SkippedDirectorySync && !self.power_lost {
             self.durable_names = self.names.clone();
             self.name_changes.clear();
         }
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -18,7 +18,7 @@
 use crate::records::Record;
 
 pub use quarantine::MAX_QUARANTINED_FILES;
-pub use read::{Opened, Quarantine, ReadError, UnusableFile, newest};
+pub use read::{Quarantine, ReadError, StoreContents, UnusableFile, read_newest};
 use slot::Slot;
 
 /// The file of a snapshot that is being written.
@@ -45,7 +45,7 @@
     },
     /// The new name cannot be made to survive a power loss.
     #[error("cannot sync the directory: {0}")]
-    SyncNames(#[source] io::Error),
+    SyncDirectory(#[source] io::Error),
 }
 
 /// A directory with two generations of snapshots.
@@ -60,13 +60,13 @@
 impl<D: Disk> Store<D> {
     /// Opens the directory: reads the newest complete snapshot, quarantines unreadable files and
     /// removes an incomplete new file.
-    pub fn open(disk: D) -> (Store<D>, Opened) {
+    pub fn open(disk: D) -> (Store<D>, StoreContents) {
         Store::open_with(disk, format::decode)
     }
 
     /// The same with another decoder, for tests that show why the decoder's checks are needed.
-    pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, Opened) {
-        let mut opened = Opened::default();
+    pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, StoreContents) {
+        let mut opened = StoreContents::default();
         let [first, second] =
             Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut opened));
         // A save that was interrupted before the rename: it was never reported as done.
@@ -118,7 +118,7 @@
         self.disk
             .rename(NEW_FILE, slot)
             .map_err(|source| SaveError::Rename { slot, source })?;
-        self.disk.sync_names().map_err(SaveError::SyncNames)
+        self.disk.sync_directory().map_err(SaveError::SyncDirectory)
     }
 
     fn write_new_file(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -164,7 +164,12 @@
 
 /// Reads one generation and quarantines its file if it is unreadable. Returns the sequence number
 /// of its snapshot; 0 if there is none.
-fn open_slot<D: Disk>(disk: &mut D, slot: Slot, decode: Decoder, opened: &mut Opened) -> u64 {
+fn open_slot<D: Disk>(
+    disk: &mut D,
+    slot: Slot,
+    decode: Decoder,
+    opened: &mut StoreContents,
+) -> u64 {
     match read::read_slot(disk, slot, decode) {
         None => 0,
         Some(Ok(snapshot)) => {
@@ -194,6 +199,6 @@
             removed += 1;
         }
     }
-    disk.sync_names()?;
+    disk.sync_directory()?;
     Ok(removed)
 }
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -58,7 +58,7 @@
         disk.remove(oldest.name)?;
     }
     disk.rename(name, &new_name)?;
-    disk.sync_names()?;
+    disk.sync_directory()?;
     Ok(new_name)
 }
 
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -74,14 +74,14 @@
 
 /// The usable and unusable files of a directory.
 #[derive(Debug, Default)]
-pub struct Opened {
+pub struct StoreContents {
     /// The newest complete snapshot, if there is any.
     pub snapshot: Option<Snapshot>,
     /// Files that cannot be used.
     pub unusable_files: Vec<UnusableFile>,
 }
 
-impl Opened {
+impl StoreContents {
     /// Keeps the snapshot if it is newer than the newest one so far.
     pub(super) fn offer(&mut self, snapshot: Snapshot) {
         let is_newer = self
@@ -96,8 +96,8 @@
 
 /// Finds the newest complete snapshot in a directory, and the files that cannot be used. Changes
 /// nothing.
-pub fn newest<D: Disk>(disk: &mut D) -> Opened {
-    let mut opened = Opened::default();
+pub fn read_newest<D: Disk>(disk: &mut D) -> StoreContents {
+    let mut opened = StoreContents::default();
     for slot in Slot::BOTH {
         match read_slot(disk, slot, format::decode) {
             None => {}
