--- a/crates/snapshot/src/expiry/restore.rs
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -148,7 +148,7 @@
 fn is_plausible(record: &OutcomeRecord) -> bool {
     let sums = || record.outcomes.iter().zip(&record.failures);
     record.outcomes.len() == record.failures.len()
-        && sums().all(|(outcomes, failures)| is_sum(*outcomes) && is_sum(*failures))
+        && sums().all(|(outcomes, failures)| is_valid_sum(*outcomes) && is_valid_sum(*failures))
         && sums().all(|(outcomes, failures)| *failures <= *outcomes + FAILURE_TOLERANCE)
 }
 
@@ -164,13 +164,13 @@
 {
     let sums: [f64; LENGTH] = sums.into();
     let responses = *sums.last()?;
-    if weight <= 0.0 || responses <= 0.0 || !sums.iter().all(|sum| is_sum(*sum)) {
+    if weight <= 0.0 || responses <= 0.0 || !sums.iter().all(|sum| is_valid_sum(*sum)) {
         return None;
     }
     let scale = (max_responses / responses).min(1.0);
     Some(sums.map(|sum| sum * weight * scale).into())
 }
 
-fn is_sum(value: f64) -> bool {
+fn is_valid_sum(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/snapshot/src/format/decode.rs
+++ b/crates/snapshot/src/format/decode.rs
@@ -143,11 +143,11 @@
     }
 }
 
-fn field<const N: usize>(bytes: &[u8], at: Range<usize>) -> Option<[u8; N]> {
-    bytes.get(at)?.try_into().ok()
+fn field<const N: usize>(bytes: &[u8], range: Range<usize>) -> Option<[u8; N]> {
+    bytes.get(range)?.try_into().ok()
 }
 
 /// A field of the header, which may be truncated.
-fn header_field<const N: usize>(bytes: &[u8], at: Range<usize>) -> Result<[u8; N], FormatError> {
-    field(bytes, at).ok_or(FormatError::Torn)
+fn header_field<const N: usize>(bytes: &[u8], range: Range<usize>) -> Result<[u8; N], FormatError> {
+    field(bytes, range).ok_or(FormatError::Torn)
 }
--- a/crates/snapshot/src/simulated_disk.rs
+++ b/crates/snapshot/src/simulated_disk.rs
@@ -117,15 +117,15 @@
     pub fn after_power_loss(mut self, seed: u64, power_loss_at: Option<u64>) -> SimulatedDisk {
         let mut rng = Rand64::new(u128::from(seed) ^ SURVIVAL_SEED_MASK);
         for change in std::mem::take(&mut self.name_changes) {
-            if coin(&mut rng) {
+            if random_bool(&mut rng) {
                 self.make_durable(change);
             }
         }
         for file in &mut self.files {
-            *file = file.after_power_loss(|| coin(&mut rng));
+            *file = file.after_power_loss(|| random_bool(&mut rng));
         }
         if self.faults.injected_fault == InjectedFault::BitRot {
-            self.rot_one_bit(&mut rng);
+            self.flip_random_bit(&mut rng);
             // Two generations tolerate one flipped bit, not one in each of them.
             self.faults.injected_fault = InjectedFault::None;
         }
@@ -157,7 +157,7 @@
     }
 
     /// Flips one durable bit of one file that still has a name, if there is any.
-    fn rot_one_bit(&mut self, rng: &mut Rand64) {
+    fn flip_random_bit(&mut self, rng: &mut Rand64) {
         let named_files: Vec<FileIndex> = self.durable_names.values().copied().collect();
         if named_files.is_empty() {
             return;
@@ -182,7 +182,7 @@
             return Ok(drawn_fault);
         }
         self.power_lost = true;
-        if coin(&mut self.rng) {
+        if random_bool(&mut self.rng) {
             Ok(None)
         } else {
             Err(power_loss())
@@ -224,7 +224,7 @@
 }
 
 /// True in one of two cases.
-fn coin(rng: &mut Rand64) -> bool {
+fn random_bool(rng: &mut Rand64) -> bool {
     rng.rand_u64().is_multiple_of(2)
 }
 
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -66,9 +66,9 @@
 
     /// The same with another decoder, for tests that show why the decoder's checks are needed.
     pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, StoreContents) {
-        let mut opened = StoreContents::default();
+        let mut contents = StoreContents::default();
         let [first, second] =
-            Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut opened));
+            Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut contents));
         // A save that was interrupted before the rename: it was never reported as done.
         let _ = disk.remove(NEW_FILE);
         let store = Store {
@@ -80,7 +80,7 @@
             },
             sequence: first.max(second),
         };
-        (store, opened)
+        (store, contents)
     }
 
     /// Saves a snapshot and returns its length in bytes. After this has returned without an error,
@@ -102,7 +102,7 @@
             records,
             unknown_records: 0,
         });
-        if let Err(error) = self.replace_older(&bytes) {
+        if let Err(error) = self.replace_older_generation(&bytes) {
             // After a failed sync the file may be readable from the page cache without being on the
             // disk.
             let _ = self.disk.remove(NEW_FILE);
@@ -112,7 +112,7 @@
         Ok(bytes.len())
     }
 
-    fn replace_older(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
+    fn replace_older_generation(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
         self.write_new_file(bytes).map_err(SaveError::Write)?;
         let slot = self.next_slot.file_name();
         self.disk
@@ -168,18 +168,18 @@
     disk: &mut D,
     slot: Slot,
     decode: Decoder,
-    opened: &mut StoreContents,
+    contents: &mut StoreContents,
 ) -> u64 {
     match read::read_slot(disk, slot, decode) {
         None => 0,
         Some(Ok(snapshot)) => {
             let sequence = snapshot.sequence;
-            opened.offer(snapshot);
+            contents.keep_if_newer(snapshot);
             sequence
         }
         Some(Err(error)) => {
             let file = quarantine::quarantine(disk, slot, error);
-            opened.unusable_files.push(file);
+            contents.unusable_files.push(file);
             0
         }
     }
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -20,7 +20,7 @@
 /// Renames the slot's file to a name with the reason for which it cannot be used.
 pub(super) fn quarantine<D: Disk>(disk: &mut D, slot: Slot, error: ReadError) -> UnusableFile {
     let name = slot.file_name();
-    let quarantine = match rename(disk, name, error.label()) {
+    let quarantine = match rename_to_quarantine(disk, name, error.label()) {
         Ok(new_name) => Quarantine::RenamedTo(new_name),
         Err(rename_error) => Quarantine::Failed(rename_error),
     };
@@ -39,7 +39,7 @@
     name: &'a str,
 }
 
-fn rename<D: Disk>(disk: &mut D, name: &str, label: &str) -> io::Result<String> {
+fn rename_to_quarantine<D: Disk>(disk: &mut D, name: &str, label: &str) -> io::Result<String> {
     let names = disk.names()?;
     let mut quarantined: Vec<QuarantinedFile<'_>> = names
         .iter()
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -83,7 +83,7 @@
 
 impl StoreContents {
     /// Keeps the snapshot if it is newer than the newest one so far.
-    pub(super) fn offer(&mut self, snapshot: Snapshot) {
+    pub(super) fn keep_if_newer(&mut self, snapshot: Snapshot) {
         let is_newer = self
             .snapshot
             .as_ref()
@@ -97,19 +97,19 @@
 /// Finds the newest complete snapshot in a directory, and the files that cannot be used. Changes
 /// nothing.
 pub fn read_newest<D: Disk>(disk: &mut D) -> StoreContents {
-    let mut opened = StoreContents::default();
+    let mut contents = StoreContents::default();
     for slot in Slot::BOTH {
         match read_slot(disk, slot, format::decode) {
             None => {}
-            Some(Ok(snapshot)) => opened.offer(snapshot),
-            Some(Err(error)) => opened.unusable_files.push(UnusableFile {
+            Some(Ok(snapshot)) => contents.keep_if_newer(snapshot),
+            Some(Err(error)) => contents.unusable_files.push(UnusableFile {
                 name: slot.file_name().into(),
                 error,
                 quarantine: Quarantine::NotAttempted,
             }),
         }
     }
-    opened
+    contents
 }
 
 /// Reads one generation; `None` if its file does not exist.
