--- a/crates/snapshot/src/crash_history.rs
+++ b/crates/snapshot/src/crash_history.rs
@@ -1,5 +1,6 @@
-//! Histories of saves on a [simulated disk](crate::simulated_disk) with a power loss at every step.
-//! The [store](crate::store) has to pass their checks, and planted faults have to fail them.
+//! Crash tests of the [store](crate::store): seeded sequences ("histories") of saves on a
+//! [simulated disk](crate::simulated_disk), with a power loss at every step. The store has to pass
+//! the checks, and with an injected fault they have to fail.
 
 mod progress;
 
@@ -17,18 +18,20 @@
 use progress::Progress;
 pub use progress::Violation;
 
-/// Most records of a snapshot: small snapshots are written in one step, large ones in several.
+/// Maximum number of records in a snapshot. Small snapshots are written in one step, large ones in
+/// several.
 const MAX_RECORDS: u64 = 60;
-/// Most saves in the first life of a history.
+/// Maximum number of saves in the first run of a history.
 const MAX_FIRST_RUN_SAVES: u64 = 3;
-/// Number of second lives after each power loss. In each, a different part of the disk survives.
+/// Number of second runs simulated after each first power loss. For each of them, a different
+/// subset of the changes that were not synced survives.
 const SECOND_RUNS: u64 = 4;
-/// The second power loss is at a random step, at most this many times as late as the first one.
+/// The second power loss is at a random step, at most this many times the step of the first one.
 const SECOND_LOSS_FACTOR: u64 = 4;
-/// Number of saves in a second life.
+/// Number of saves in a second run.
 const SECOND_RUN_SAVES: u64 = 2;
 
-/// Totals over histories.
+/// Counts of events, summed over histories.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashStats {
     /// Power losses.
@@ -37,9 +40,9 @@
     pub saves: u64,
     /// Saves that were reported as failed.
     pub failed_saves: u64,
-    /// Crashes after which a snapshot was read that had not been reported as saved.
+    /// Runs that started with a snapshot whose save had not been reported as done.
     pub unreported_snapshots_found: u64,
-    /// Files that could not be read.
+    /// Files that could not be read or decoded.
     pub unusable_files: u64,
 }
 
@@ -58,21 +61,21 @@
     }
 }
 
-/// A history with a violation.
+/// A history in which the store violated its guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("seed {seed}, power lost at step {step}: {violation}")]
 pub struct CrashHistoryError {
     /// Seed of the history.
     pub seed: u64,
-    /// The step of the first power loss.
+    /// Step of the first power loss, counted from 1.
     pub step: u64,
-    /// What was read after it.
+    /// The violation that was found.
     #[source]
     pub violation: Violation,
 }
 
-/// Records of the snapshot of this number. Their count and content are derived from the number, so
-/// that a mixture of two snapshots is detected.
+/// The records of the snapshot with this number. Their count and content are derived from the
+/// number, so that a file that mixes the content of two snapshots is detected.
 pub fn records_of(number: u64) -> Vec<Record> {
     let mut rng = Rand64::new(u128::from(number));
     let count = 1 + rng.rand_u64() % MAX_RECORDS;
@@ -86,13 +89,13 @@
     (0..count).map(draw_record).collect()
 }
 
-/// Plays one seeded history: some saves, with a power loss at each step in turn, and after each a
-/// second life with a power loss at a random step. What is read back is checked against what was
-/// reported as saved.
+/// Simulates one seeded history. The first run, a number of saves, is repeated with the power loss
+/// at each step in turn. Each power loss is followed by second runs with another power loss at a
+/// random step. Whatever is read back is checked against what was reported as saved.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// The first violation that is found.
 pub fn simulate(
     seed: u64,
     injected_fault: InjectedFault,
@@ -131,18 +134,18 @@
 /// One seeded history.
 struct History {
     seed: u64,
-    /// Faults of the disk in the first life, without the power loss.
+    /// Faults of the disk in the first run, without the power loss.
     faults: FaultPlan,
     first_run_saves: u64,
     decode: Decoder,
-    /// Draws the steps of the second power losses.
+    /// Generates the steps of the second power losses.
     rng: Rand64,
     stats: CrashStats,
 }
 
 impl History {
-    /// Plays a first life with a power loss at this step, and second lives after it. Returns
-    /// whether the first life was long enough to reach the step.
+    /// Simulates the first run with a power loss at this step, and the second runs after it.
+    /// Returns whether the first run was long enough to reach the step.
     fn simulate_power_loss_at(&mut self, step: u64) -> Result<bool, Violation> {
         let faults = FaultPlan {
             power_loss_at: Some(step),
@@ -167,7 +170,7 @@
         Ok(disk.power_lost())
     }
 
-    /// Plays a life after a power loss, and checks what is read after the next one.
+    /// Simulates a run after a power loss, and checks what is read after the next one.
     fn simulate_second_run(
         &mut self,
         disk: SimulatedDisk,
@@ -181,8 +184,8 @@
         Ok(())
     }
 
-    /// Plays one life of a process: it opens the store, checks what it reads and attempts a number
-    /// of saves. Returns the disk.
+    /// Simulates one run of a process: opens the store, checks the snapshot read and attempts a
+    /// number of saves. Returns the disk.
     fn simulate_run(
         &mut self,
         disk: SimulatedDisk,
@@ -215,11 +218,11 @@
     }
 }
 
-/// A decoder that ignores the checksum: a planted fault.
+/// A decoder that ignores the checksum, used as an injected fault.
 ///
 /// # Errors
 ///
-/// If header or records cannot be decoded.
+/// Fails if the header or the records cannot be decoded.
 pub fn decode_without_checksum(bytes: &[u8]) -> Result<Snapshot, FormatError> {
     if bytes.len() < HEADER_BYTES {
         Err(FormatError::Torn)
--- a/crates/snapshot/src/crash_history/progress.rs
+++ b/crates/snapshot/src/crash_history/progress.rs
@@ -1,26 +1,27 @@
-//! The checker: what a store must return after the saves and power losses so far.
+//! Tracks the saves of a history and checks which snapshot the store returns after a power loss.
 
 use thiserror::Error;
 
 use super::records_of;
 use crate::format::Snapshot;
 
-/// A result of reading that must never occur. Snapshots are identified by number.
+/// A violation of the store's guarantees. Snapshots are identified by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// No snapshot is found although one was reported as saved.
+    /// No snapshot was found although this one was reported as saved.
     #[error("snapshot {0} is lost")]
     Lost(u64),
-    /// The snapshot found is neither the last one saved nor one whose save began after that.
-    #[error("snapshot {found} where {saved} was saved last")]
+    /// The snapshot found is neither the last one that was reported as saved nor one whose save
+    /// began later.
+    #[error("found snapshot {found}, but {saved} was the last one saved")]
     WrongSnapshot {
-        /// The snapshot that is found.
+        /// The snapshot that was found.
         found: u64,
-        /// The snapshot that was reported as saved last.
+        /// The last snapshot that was reported as saved.
         saved: u64,
     },
-    /// The snapshot found was never written with this content.
-    #[error("snapshot {0} is a mixture")]
+    /// The records of the snapshot found are not those that were written.
+    #[error("the records of snapshot {0} differ from those written")]
     ContentMismatch(u64),
 }
 
@@ -29,11 +30,11 @@
 pub(super) struct Progress {
     /// The last snapshot that was reported as saved; 0 for none.
     pub(super) last_saved: u64,
-    /// The snapshot that was reported as saved before it; 0 for none.
+    /// The snapshot that was reported as saved before `last_saved`; 0 for none.
     pub(super) previously_saved: u64,
     /// The last snapshot whose save began; 0 for none.
     pub(super) last_begun: u64,
-    /// Whether one of the two generations may be corrupted.
+    /// Whether one of the two generations may be corrupted, so that only the other one is readable.
     pub(super) bit_rot: bool,
 }
 
@@ -44,20 +45,21 @@
         self.last_begun
     }
 
-    /// Notes that the snapshot that was begun last is reported as saved.
+    /// Records that the save begun last was reported as done.
     pub(super) fn finish_save(&mut self) {
         self.previously_saved = self.last_saved;
         self.last_saved = self.last_begun;
     }
 
-    /// Notes that this snapshot was read: from now on it must be readable.
+    /// Records that this snapshot was read. From now on it counts as saved.
     pub(super) fn record_read(&mut self, number: u64) {
         self.last_saved = number;
         self.previously_saved = 0;
     }
 
-    /// Checks that the snapshot found is the last one saved or one begun since, unchanged. Returns
-    /// its number, or 0 for none.
+    /// Checks that the snapshot found is the last one saved or one whose save began later, and that
+    /// its records are unchanged. With bit rot, the one saved before the last is allowed too.
+    /// Returns the snapshot's number, or 0 for none.
     pub(super) fn check(&self, found: Option<&Snapshot>) -> Result<u64, Violation> {
         let oldest_allowed = if self.bit_rot {
             self.previously_saved
--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory of this host, and the lock that lets one process at a time use it.
+//! [`Disk`] on a directory of the host, with a lock file against use by two processes at a time.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -9,23 +9,23 @@
 
 use crate::disk::Disk;
 
-/// The file that is locked; [`Disk::names`] leaves it out.
+/// Name of the lock file; [`Disk::names`] omits it.
 const LOCK_FILE: &str = "lock";
 
-/// Why a directory cannot be locked.
+/// The reason why a directory cannot be locked.
 #[derive(Debug, Error)]
 pub enum LockError {
     /// Another process has locked it.
     #[error("another proxy instance has locked it")]
     Locked,
-    /// It cannot be created or opened.
+    /// The directory or its lock file cannot be created or opened.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// An advisory lock. The operating system releases it when the process ends, also by a crash.
+/// An advisory file lock. The operating system releases it when the process ends, even by a crash.
 struct DirectoryLock {
-    /// Locked until it is closed.
+    /// The lock is held until this file is closed.
     _file: File,
 }
 
@@ -44,22 +44,22 @@
     }
 }
 
-/// A directory of this host.
+/// A directory of the host that holds snapshot files.
 pub struct Directory {
     path: PathBuf,
     /// Files open for writing, by name.
     open_files: BTreeMap<String, File>,
-    /// `None` if the directory is only inspected.
+    /// `None` if the directory is only read.
     _lock: Option<DirectoryLock>,
 }
 
 impl Directory {
-    /// Locks the directory until the value is dropped, and creates it first if it is missing.
+    /// Creates the directory if it is missing, and locks it until the returned value is dropped.
     ///
     /// # Errors
     ///
-    /// [`LockError::Locked`] if another process has locked it; otherwise why it cannot be created
-    /// or opened.
+    /// [`LockError::Locked`] if another process has locked the directory, or [`LockError::Io`] if it
+    /// cannot be created, opened or locked.
     pub fn lock(path: &Path) -> Result<Directory, LockError> {
         if !path.is_dir() {
             create_durably(path)?;
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Opens the directory for inspection only, even if a process has locked it.
+    /// Opens the directory without a lock, even if a process has locked it. For reading only.
     pub fn without_lock(path: &Path) -> Directory {
         Directory {
             path: path.into(),
@@ -88,8 +88,8 @@
     }
 }
 
-/// Creates the directory and syncs its parent: if a power loss removed the directory's name, its
-/// content would be lost too.
+/// Creates the directory and syncs its parent. Without the sync, a power loss could remove the
+/// directory's entry, and its content would be lost with it.
 fn create_durably(path: &Path) -> io::Result<()> {
     fs::create_dir_all(path)?;
     let parent = path
@@ -134,8 +134,8 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        // A directory in place of a file was made by somebody else: it may be renamed, but its
-        // content is not removed.
+        // `remove_file` fails on a directory. The proxy has not created it, so it may be renamed,
+        // but its content is never removed.
         fs::remove_file(self.path.join(name))
     }
 
--- a/crates/snapshot/src/expiry.rs
+++ b/crates/snapshot/src/expiry.rs
@@ -1,9 +1,9 @@
-//! How much a record still counts: by its kind, its age, and whether the endpoint list still names
-//! the same process.
+//! The weight of a record by its kind and age, and what is restored of it. Records of a process are
+//! restored only if the endpoint list still names that process.
 //!
-//! Invariants: no record counts more with time, every record expires, and a clock that was wrong
-//! lets none count for more. How much a restored record counts in a rollback verdict is decided by
-//! the policy, not here.
+//! Invariants: a record's weight never rises with time, every record expires, and a wrong clock
+//! never raises a weight. How much a restored record counts in a rollback verdict is decided by the
+//! policy, not here.
 
 mod lifetime;
 mod restore;
@@ -21,15 +21,15 @@
     restore_outcomes, restore_route, restore_zones,
 };
 
-/// The clock of a host before a restart and after it differ by less than this.
+/// The host's clock may be set back by less than this over a restart.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(2);
 
 /// Whether the process that a record describes is the one that the endpoint list names now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessMatch {
-    /// Address, build and time of start are the same.
+    /// Name, address, build and start time are equal.
     Same,
-    /// Another process has the endpoint's name now, or none does; the record describes neither.
+    /// Another process is listed under the endpoint's name, or none is.
     Different,
 }
 
@@ -44,8 +44,8 @@
     }
 }
 
-/// Age of a record; `None` if it was observed in the future by more than clocks may differ. A clock
-/// that leaps ahead only makes a record older.
+/// The age of a record; `None` if its time of observation is further in the future than the clock
+/// tolerance. A clock that jumps forward only makes a record older.
 pub fn age(observed_at: Timestamp, now: Timestamp) -> Option<Duration> {
     if observed_at > now + CLOCK_TOLERANCE {
         None
@@ -54,7 +54,7 @@
     }
 }
 
-/// How much the record counts now: from 1 if it was just observed down to 0 once it has expired.
+/// The weight of the record now: 1 if it was just observed, falling to 0 when it expires.
 pub fn weight(record: &Record, now: Timestamp) -> f64 {
     Lifetime::of(record).weight(record.observed_at(), now)
 }
--- a/crates/snapshot/src/expiry/lifetime.rs
+++ b/crates/snapshot/src/expiry/lifetime.rs
@@ -1,4 +1,4 @@
-//! How fast each kind of record decays, and when it expires.
+//! Half-life and maximum age of each kind of record.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use super::age;
 use crate::records::Record;
 
-/// A record expires after this many half-lives, when it counts for less than 0.4%.
+/// A decaying record expires after this many half-lives, when its weight is below 0.4%.
 const HALF_LIVES_UNTIL_EXPIRED: u64 = 8;
 
-/// How fast a kind of record decays, and when it expires.
+/// Half-life and maximum age of a kind of record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetime {
-    /// The time after which it counts half as much.
+    /// Time after which the weight has halved.
     pub half_life: Duration,
-    /// The age from which on it does not count at all.
+    /// Age from which the weight is 0.
     pub max_age: Duration,
 }
 
 impl Lifetime {
-    /// Short, for the endpoint may have recovered in the meantime.
+    /// Short, because the endpoint may have recovered in the meantime.
     pub(super) const ENDPOINT: Lifetime = Lifetime::decaying(Duration::from_secs(10));
-    /// Short, as for endpoints.
+    /// Short, because the endpoint may have recovered in the meantime.
     pub(super) const OUTCOMES: Lifetime = Lifetime::decaying(Duration::from_secs(15));
-    /// Long, for hardware and routes seldom change.
+    /// Long, because hardware and routes seldom change.
     pub(super) const BASELINE: Lifetime = Lifetime::decaying(Duration::from_secs(600));
-    /// The fleet before the rollout and how zones compare.
+    /// The fleet's baseline before the rollout and the slowdowns by zone.
     pub(super) const FLEET: Lifetime = Lifetime::decaying(Duration::from_secs(60));
-    /// As long as the policy counts a build that was rejected before a restart as suspect.
+    /// Lasts as long as the policy treats a build that was rejected before a restart as suspect.
     const REJECTED_BUILD: Lifetime = Lifetime {
         half_life: Duration::from_secs(60),
         max_age: Duration::from_secs(60),
     };
-    /// The build of a key does not decay, but it expires.
+    /// The build of a key keeps its full weight until it expires.
     const KEY_BUILD: Lifetime = Lifetime {
         half_life: Duration::MAX,
         max_age: Duration::from_secs(3600),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The lifetime of this kind of record.
+    /// Returns the lifetime of the record's kind.
     pub fn of(record: &Record) -> Lifetime {
         match record {
             Record::Endpoint(_) => Lifetime::ENDPOINT,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// From 1 if just observed down to 0 once expired.
+    /// The weight at `now`: 1 if just observed, falling to 0 when it expires.
     pub(super) fn weight(self, observed_at: Timestamp, now: Timestamp) -> f64 {
         match age(observed_at, now) {
             Some(age) if age < self.max_age => {
--- a/crates/snapshot/src/expiry/restore.rs
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -1,5 +1,5 @@
-//! What is restored of each kind of record: its sums, weighted by the record's age and limited to
-//! what the policy may take over.
+//! What is restored of each kind of record: its sums, weighted by the record's age. Sums of latency,
+//! slowdown and load are also capped, so that new measurements soon outweigh them.
 
 use std::time::Duration;
 
@@ -13,34 +13,33 @@
     ZonesRecord,
 };
 
-/// Reported load older than this does not describe the present load.
+/// Maximum age at which a reported load still describes the present load.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(5);
-/// Most responses that an endpoint's restored slowdown counts for. The next few responses outweigh
-/// it, and the policy lets it decay within seconds, so that an endpoint that has recovered is back
-/// at its fair share within 30 s without health checks.
+/// Maximum number of responses that an endpoint's restored slowdown counts for. The next few
+/// responses outweigh it, and the policy lets it decay within seconds, so that an endpoint that has
+/// recovered gets its fair share again within 30 s without health checks.
 pub const MAX_SLOWDOWN_RESPONSES: f64 = 4.0;
-/// Most responses that a restored baseline counts for, so that a fleet that has changed is soon
-/// measured again.
+/// Maximum number of responses that a restored baseline counts for, so that new measurements
+/// replace it soon after the fleet has changed.
 pub const MAX_BASELINE_RESPONSES: f64 = 200.0;
-/// Most responses that the restored load and slowdown of a hardware class count for.
+/// Maximum number of responses that the restored load and slowdown of a hardware class count for.
 const MAX_HARDWARE_CLASS_RESPONSES: f64 = 20.0;
-/// An ejection is restored while its record counts at least this much: for one half-life.
+/// An ejection is restored while its record has at least this weight, that is for one half-life.
 const MIN_EJECTION_WEIGHT: f64 = 0.5;
-/// Failures may exceed outcomes by this much before the record counts as damaged: both are rounded
-/// sums.
+/// Failures may exceed outcomes by this much before the record is rejected as implausible, because
+/// both are rounded sums.
 const FAILURE_TOLERANCE: f64 = 1.0;
 
-/// What is restored of an endpoint that is still the same process.
+/// State restored for an endpoint whose process is still the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RestoredEndpoint {
-    /// Sum of its slowdowns and number of responses; `None` where they are not plausible.
+    /// Sum of its slowdowns and number of responses; `None` if they are not plausible.
     pub slowdown: Option<WeightedSum>,
-    /// Whether it is ejected again, until health checks show that it has recovered.
+    /// Whether it stays ejected until health checks show that it has recovered.
     pub ejected: bool,
 }
 
-/// What still counts of an endpoint's record; `None` if it has expired or the process is a
-/// different one.
+/// Restores an endpoint's record; `None` if it has expired or describes another process.
 pub fn restore_endpoint(
     record: &EndpointRecord,
     now: Timestamp,
@@ -56,18 +55,18 @@
     })
 }
 
-/// What is restored of a hardware class; `None` where sums are not plausible or have expired.
+/// Sums restored for a hardware class; each is `None` if it is not plausible or has expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RestoredHardwareClass {
     /// Sum of the requests in flight that its endpoints reported, and number of reports.
     pub load: Option<WeightedSum>,
     /// Sum of the slowdowns and number of responses.
     pub slowdown: Option<WeightedSum>,
-    /// Sums from before a rollout.
+    /// Sums of the baseline from before a rollout.
     pub baseline: Option<ClassLatency>,
 }
 
-/// What still counts of a hardware class's record.
+/// Restores a hardware class's record.
 pub fn restore_hardware_class(
     record: &HardwareClassRecord,
     now: Timestamp,
@@ -82,13 +81,13 @@
     }
 }
 
-/// What still counts of a route's baseline.
+/// Restores a route's baseline; `None` if it is not plausible or has expired.
 pub fn restore_route(record: &RouteRecord, now: Timestamp) -> Option<RouteLatency> {
     let weight = Lifetime::BASELINE.weight(record.observed_at, now);
     weighted_sums(record.baseline, MAX_BASELINE_RESPONSES, weight)
 }
 
-/// What still counts of the slowdowns by zone; `None` once the record has expired.
+/// Restores the slowdowns by zone; `None` once the record has expired.
 pub fn restore_zones(record: &ZonesRecord, now: Timestamp) -> Option<ZoneSlowdownSums> {
     let weight = Lifetime::FLEET.weight(record.observed_at, now);
     let weighted = |zone: WeightedSum| WeightedSum {
@@ -101,8 +100,8 @@
     })
 }
 
-/// What still counts of the fleet before the rollout; `None` once the record has expired. Only the
-/// counts are weighted: how they are spread and the rates are measurements of that time.
+/// Restores the fleet's baseline from before the rollout; `None` once the record has expired. Only
+/// the counts are weighted; dispersion, number of endpoints and attempt rate are kept as measured.
 pub fn restore_fleet_baseline(
     record: &FleetBaselineRecord,
     now: Timestamp,
@@ -118,17 +117,17 @@
     })
 }
 
-/// What is restored of an endpoint's outcomes; the policy limits how much they count in a verdict.
+/// Outcomes restored for an endpoint. The policy limits how much they count in a verdict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredOutcomes {
-    /// Number of outcomes in each test.
+    /// Weighted number of outcomes, one for each test.
     pub outcomes: Vec<f64>,
-    /// Number of outcomes that count as failures in each test.
+    /// Weighted number of outcomes that count as failures, one for each test.
     pub failures: Vec<f64>,
 }
 
-/// What still counts of an endpoint's outcomes; `None` if they have expired, are not plausible or
-/// the process is a different one.
+/// Restores an endpoint's outcomes; `None` if they have expired, are not plausible or describe
+/// another process.
 pub fn restore_outcomes(
     record: &OutcomeRecord,
     now: Timestamp,
@@ -152,8 +151,9 @@
         && sums().all(|(outcomes, failures)| *failures <= *outcomes + FAILURE_TOLERANCE)
 }
 
-/// Decaying sums, of which the last one is the number of responses: weighted, and scaled down to at
-/// most `max_responses`. `None` if they are not plausible or count nothing.
+/// Scales decaying sums, the last of which is the number of responses, down to at most
+/// `max_responses`, and multiplies them by the weight. `None` if they are not plausible or their
+/// weight or number of responses is 0.
 fn weighted_sums<Sums, const LENGTH: usize>(
     sums: Sums,
     max_responses: f64,
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,17 +1,17 @@
-//! Snapshots of what a proxy instance has learned, kept over a restart: the records, their file,
-//! how they expire, and the directory that holds the files.
+//! Persistence of the state that a proxy instance has learned, so that it survives a restart: the
+//! records, the file format, their expiry, and the directory that holds the snapshot files.
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`records`] | the stored records, one type for each kind |
-//! | [`mod@format`] | format of a snapshot file: encoding, decoding, versions |
-//! | [`expiry`] | how much a record still counts at a later time |
-//! | [`store`] | two generations of snapshots in one directory, safe against crashes |
-//! | [`disk`] | the trait behind which files are stored |
-//! | [`directory`] | its implementation in a directory of the host |
+//! | [`records`] | the stored records, one type per kind |
+//! | [`mod@format`] | the format of a snapshot file: encoding, decoding, versions |
+//! | [`expiry`] | the weight of a record by its age, and what is restored of it |
+//! | [`store`] | two generations of snapshots in one directory, written crash-safely |
+//! | [`disk`] | the trait that abstracts file storage |
+//! | [`directory`] | implements it with a directory of the host |
+//! | [`simulated_disk`] | implements it in memory, with fault injection |
+//! | [`crash_history`] | checks the store with a power loss at every step on a simulated disk |
 //! | [`rate_limit`], [`scheduler`] | budgets for background work, and which job runs next |
-//! | [`simulated_disk`] | its simulated implementation, with faults |
-//! | [`crash_history`] | power losses at every step on a simulated disk |
 //!
 //! `records`, `format`, `expiry`, `rate_limit` and `scheduler` do no I/O.
 
