--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -58,8 +58,8 @@
     ///
     /// # Errors
     ///
-    /// [`LockError::Locked`] if another process has locked the directory, or [`LockError::Io`] if it
-    /// cannot be created, opened or locked.
+    /// [`LockError::Locked`] if another process has locked the directory, or [`LockError::Io`] if
+    /// it cannot be created, opened or locked.
     pub fn lock(path: &Path) -> Result<Directory, LockError> {
         if !path.is_dir() {
             create_durably(path)?;
--- a/crates/snapshot/src/expiry/restore.rs
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -1,5 +1,6 @@
-//! What is restored of each kind of record: its sums, weighted by the record's age. Sums of latency,
-//! slowdown and load are also capped, so that new measurements soon outweigh them.
+//! What is restored of each kind of record: its sums, weighted by the record's age. The latencies,
+//! slowdowns and loads of endpoints, hardware classes and routes are also capped, so that new
+//! measurements soon outweigh them.
 
 use std::time::Duration;
 
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,18 +1,18 @@
-//! The format of a snapshot file: a header of fixed length, then records, each with its kind and
-//! length.
+//! The format of a snapshot file: a header of fixed length, followed by records, each with its kind
+//! and length.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 8 | `tidemem` and a line feed |
-//! | 4 | version, big-endian as all numbers here |
-//! | 4 | CRC-32 of all that follows, to the end of the file |
-//! | 8 | sequence number: one more with each snapshot that was written |
-//! | 8 | when it was written, Unix time in microseconds |
-//! | 8 | bytes after the header |
-//! | 4 | records |
+//! | 4 | format version; all numbers are big-endian |
+//! | 4 | CRC-32 of everything after this field, to the end of the file |
+//! | 8 | sequence number, one higher with each snapshot written |
+//! | 8 | time of writing, in microseconds since the Unix epoch |
+//! | 8 | number of bytes after the header |
+//! | 4 | number of records |
 //!
-//! A record is its kind (2 bytes), its length (4 bytes) and a body in CBOR. A reader skips records
-//! of unknown kinds and, inside a body, unknown fields.
+//! A record consists of its kind (2 bytes), the length of its body (4 bytes) and the body in CBOR.
+//! A reader skips records of unknown kinds and unknown fields in a body.
 
 mod decode;
 mod encode;
@@ -29,22 +29,22 @@
 pub(crate) use decode::decode_records;
 pub use encode::encode;
 
-/// The version that is written; every version up to it is read.
+/// The format version that is written. All versions up to it can be read.
 pub const VERSION: u32 = 1;
-/// Most bytes of a file, so that a restart reads it within milliseconds. Records that do not fit
-/// are left out, starting with the last.
+/// Maximum length of a file, so that a restart reads it within milliseconds. Records that do not
+/// fit are omitted from the end.
 pub const MAX_FILE_BYTES: usize = 16 << 20;
-/// Number of bytes that a reader needs of a file to decode it or to find that it is too long.
+/// Number of bytes to read of a file, enough to decode it or to detect that it is too long.
 pub const READ_LIMIT: usize = MAX_FILE_BYTES + HEADER_BYTES;
-/// Length of the header.
+/// Length of the file header.
 pub const HEADER_BYTES: usize = 44;
 
 /// Every file begins with these bytes.
 const MAGIC: &[u8; 8] = b"tidemem\n";
-/// Kind and length before each record's body.
+/// Length of the kind and the length field before each record's body.
 const RECORD_HEADER_BYTES: usize = 6;
 
-/// Positions of the header's fields.
+/// Byte ranges of the header's fields.
 mod header {
     use super::Range;
 
@@ -57,7 +57,7 @@
     pub(super) const RECORD_COUNT: Range<usize> = 40..44;
 }
 
-/// Numbers of the kinds of records. A number is never reused for another kind.
+/// Numbers that identify the kinds of records in a file. A number is never reused for another kind.
 mod kind {
     pub(super) const ENDPOINT: u16 = 1;
     pub(super) const HARDWARE_CLASS: u16 = 2;
@@ -71,22 +71,23 @@
     pub(super) const ROLLOUT: u16 = 10;
 }
 
-/// One complete snapshot of what an instance has learned.
+/// The state that an instance has learned, as of one point in time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Higher by one with each snapshot written: of two snapshots, the one with the higher number
-    /// is newer.
+    /// Sequence number, one higher with each snapshot written. Of two snapshots, the one with the
+    /// higher number is newer.
     pub sequence: u64,
     /// Time of writing.
     pub written_at: Timestamp,
-    /// The records; the most important come first.
+    /// The records, the most important first, since records that exceed the size limit are omitted
+    /// from the end.
     pub records: Vec<Record>,
-    /// Number of records that were skipped because this version does not know their kind.
+    /// Number of records that the decoder skipped because their kind is unknown to this version.
     pub unknown_records: usize,
 }
 
 impl Snapshot {
-    /// The processes of the endpoint list that the snapshot holds, by name of the endpoint.
+    /// The processes of the stored endpoint list, by endpoint name.
     pub fn listed_processes(&self) -> BTreeMap<&str, &Process> {
         let mut processes = BTreeMap::new();
         for record in &self.records {
@@ -98,53 +99,53 @@
     }
 }
 
-/// Why a file cannot be read.
+/// The reason why a file cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FormatError {
     /// The file has no bytes.
     #[error("empty")]
     Empty,
-    /// The file is longer than any file that is written.
+    /// The file is longer than the maximum.
     #[error("too long, over {MAX_FILE_BYTES} bytes")]
     TooLong,
     /// The file does not begin with the magic bytes.
     #[error("not a snapshot file")]
     NotASnapshot,
-    /// The file's version is later than [`VERSION`].
+    /// The file's format version is higher than [`VERSION`].
     #[error("written by a newer version: format {0}")]
     NewerVersion(u32),
     /// The file ends inside its header, or its length differs from the length in the header.
     #[error("torn: the length differs from the length in the header")]
     Torn,
-    /// The bytes are not those that were written.
+    /// The checksum does not match the bytes, so they were changed after writing.
     #[error("checksum does not match")]
     ChecksumMismatch,
     /// The checksum matches, but a record cannot be decoded.
     #[error("cannot decode the record at byte {offset}: {reason}")]
     InvalidRecord {
-        /// Position of the record in the file.
+        /// Byte position of the record in the file.
         offset: usize,
-        /// Why it cannot be decoded.
+        /// The reason why it cannot be decoded.
         reason: InvalidRecord,
     },
 }
 
-/// Why a record cannot be decoded.
+/// The reason why a record cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRecord {
     /// The file ends inside the record.
     #[error("the record is truncated")]
     Truncated,
-    /// Bytes follow after the last record that the header counts.
+    /// Bytes follow the last record that the header counts.
     #[error("more records than the header counts")]
     TrailingBytes,
-    /// The body is not the CBOR of a record of this kind; the message is the CBOR reader's.
+    /// The body is not valid CBOR of a record of this kind; contains the CBOR decoder's message.
     #[error("{0}")]
     InvalidBody(String),
 }
 
 impl FormatError {
-    /// One word for the reason, used in the name of the quarantined file.
+    /// The reason as one word, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             FormatError::Empty => "empty",
--- a/crates/snapshot/src/format/decode.rs
+++ b/crates/snapshot/src/format/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the bytes of a file to its snapshot.
+//! Decodes a snapshot from the bytes of its file.
 
 use std::ops::Range;
 
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// The first reason for which the file cannot be used; nothing of it is used then.
+/// The first error that is found. A file is decoded as a whole or not at all.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, FormatError> {
     if bytes.is_empty() {
         return Err(FormatError::Empty);
@@ -26,7 +26,8 @@
     }
     check_magic(bytes)?;
     let version = u32::from_be_bytes(header_field(bytes, header::VERSION)?);
-    // A newer version may give the bytes that follow another meaning, also those of the checksum.
+    // In a newer version, all fields that follow may have another meaning, even the checksum, so
+    // none of them is read.
     if version > VERSION {
         return Err(FormatError::NewerVersion(version));
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Decodes header and records without checking the checksum.
+/// Decodes the header and the records without verifying the checksum.
 pub(crate) fn decode_records(bytes: &[u8]) -> Result<Snapshot, FormatError> {
     let written_at = u64::from_be_bytes(header_field(bytes, header::WRITTEN_AT)?);
     let mut snapshot = Snapshot {
@@ -83,7 +84,7 @@
     }
 }
 
-/// A record that is not decoded yet.
+/// A record whose body is not decoded yet.
 struct RawRecord<'a> {
     kind: u16,
     body: &'a [u8],
@@ -112,7 +113,7 @@
 
 type BodyError = ciborium::de::Error<std::io::Error>;
 
-/// Decodes the record; `None` if this version does not know its kind.
+/// Decodes the record's body; `None` if this version does not know its kind.
 fn decode_body(raw: &RawRecord<'_>) -> Result<Option<Record>, BodyError> {
     let body = raw.body;
     Ok(Some(match raw.kind {
@@ -134,7 +135,7 @@
     ciborium::from_reader(body)
 }
 
-/// Converts the snapshot of an older version, step by step from version to version.
+/// Converts a snapshot of an older format version, one version at a time.
 fn migrate(version: u32, snapshot: Snapshot) -> Result<Snapshot, FormatError> {
     match version {
         VERSION => Ok(snapshot),
@@ -147,7 +148,7 @@
     bytes.get(range)?.try_into().ok()
 }
 
-/// A field of the header, which may be truncated.
+/// Reads a field of the header; [`FormatError::Torn`] if the file ends before it.
 fn header_field<const N: usize>(bytes: &[u8], range: Range<usize>) -> Result<[u8; N], FormatError> {
     field(bytes, range).ok_or(FormatError::Torn)
 }
--- a/crates/snapshot/src/format/encode.rs
+++ b/crates/snapshot/src/format/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes a snapshot to the bytes of its file.
+//! Encodes a snapshot into the bytes of its file.
 
 use crate::records::Record;
 
@@ -6,7 +6,7 @@
     HEADER_BYTES, MAGIC, MAX_FILE_BYTES, RECORD_HEADER_BYTES, Snapshot, VERSION, header, kind,
 };
 
-/// Encodes the snapshot; records beyond [`MAX_FILE_BYTES`] are left out, starting with the last.
+/// Encodes the snapshot. Records that do not fit into [`MAX_FILE_BYTES`] are omitted from the end.
 pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let mut bytes = vec![0; HEADER_BYTES];
     let mut record_count = 0u32;
@@ -57,7 +57,7 @@
         Record::ListedEndpoint(record) => ciborium::into_writer(record, bytes),
         Record::Rollout(record) => ciborium::into_writer(record, bytes),
     };
-    // Writing into a vector never fails, and every record is plain data.
+    // Encoding cannot fail: a vector accepts all writes, and every record can be serialized.
     debug_assert!(written.is_ok());
 }
 
--- a/crates/snapshot/src/rate_limit.rs
+++ b/crates/snapshot/src/rate_limit.rs
@@ -1,22 +1,21 @@
-//! A token bucket that limits how much background work is done per second on average.
+//! A token bucket that limits the average amount of background work per second.
 
 use std::time::Duration;
 
 use tidescale_policy::types::Timestamp;
 
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Lowest rate in tokens per second that waits are computed with, so that a rate of zero gives a
-/// finite wait.
+/// Minimum rate, in tokens per second, for computing waits, so that a rate of zero gives a finite
+/// wait.
 const MIN_RATE: f64 = 1e-9;
-/// Longest wait in microseconds, about eleven days, so that any amount overspent gives a wait that
-/// fits an integer.
+/// Maximum wait, in microseconds (about eleven days), so that the wait fits an integer for any
+/// overspent amount.
 const MAX_WAIT_MICROS: f64 = 1e12;
 
-/// A token bucket that refills at a constant rate and holds at most one second's worth.
+/// A token bucket that refills at a constant rate and holds at most the tokens of one second.
 ///
-/// It may be overspent; then no tokens are available until the debt is refilled. While the clock
-/// stops or runs backwards, nothing is refilled.
+/// The balance may become negative; then no tokens are available until it is refilled above zero.
+/// No tokens are added while the clock stops or runs backwards.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
     /// Tokens per second; also the capacity in tokens.
@@ -27,7 +26,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket that refills at `rate` tokens per second.
+    /// Creates a full bucket that refills at `rate` tokens per second.
     pub fn new(rate: f64, now: Timestamp) -> RateLimit {
         RateLimit {
             rate,
--- a/crates/snapshot/src/records.rs
+++ b/crates/snapshot/src/records.rs
@@ -1,12 +1,13 @@
-//! The records that a snapshot stores, each with the time at which it was observed.
+//! The records that a snapshot consists of, each with its time of observation.
 //!
-//! Times are stored as Unix time in whole microseconds. Decaying sums are stored as the policy
-//! holds them, decayed to the record's time, so that a later reader continues from there.
+//! Times are stored as whole microseconds since the Unix epoch. Decaying sums are stored as the
+//! policy holds them, decayed to the record's time of observation, so that a reader can continue
+//! the decay from that time.
 //!
-//! Invariants of the file: a stored field keeps its name, even if it is renamed here
+//! Compatibility rules: a field keeps its stored name even if it is renamed in the code
 //! (`#[serde(rename = "…")]`), and fields keep their order. Every field added after version 1 has a
-//! default, and readers skip unknown fields, so that older and newer programs read each other's
-//! files as long as the format's version is the same.
+//! default, and readers skip unknown fields, so that older and newer programs can read each other's
+//! files as long as the format version is the same.
 
 mod endpoint;
 mod fleet;
@@ -22,27 +23,27 @@
 pub use fleet::{FleetBaselineRecord, HardwareClassRecord, RouteRecord, ZonesRecord};
 pub use rollout::{KeyBuildRecord, RejectedBuildRecord, RolloutPhase, RolloutRecord};
 
-/// One record, of any kind.
+/// A record of any kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// What was learned of one endpoint.
+    /// Slowdown, load and ejection of one endpoint.
     #[serde(rename = "Machine")]
     Endpoint(EndpointRecord),
-    /// What was learned of one hardware class.
+    /// Load, slowdown and baseline of one hardware class.
     #[serde(rename = "Kind")]
     HardwareClass(HardwareClassRecord),
     /// Baseline latency of one route.
     Route(RouteRecord),
-    /// Outcomes of one endpoint under one build.
+    /// Attempt outcomes of one endpoint under one build.
     #[serde(rename = "Evidence")]
     Outcomes(OutcomeRecord),
     /// A build that was rejected.
     #[serde(rename = "Condemned")]
     RejectedBuild(RejectedBuildRecord),
-    /// The fleet before the rollout.
+    /// The fleet's baseline from before the rollout.
     #[serde(rename = "Calm")]
     FleetBaseline(FleetBaselineRecord),
-    /// How this instance's zone compares with the others.
+    /// Slowdowns of this instance's zone and of the other zones.
     Zones(ZonesRecord),
     /// The lowest build that requests with an idempotency key may be sent to.
     #[serde(rename = "Key")]
@@ -56,7 +57,7 @@
 }
 
 impl Record {
-    /// When the record was observed.
+    /// The record's time of observation.
     pub fn observed_at(&self) -> Timestamp {
         match self {
             Record::Endpoint(record) => record.observed_at,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The kind of record, as operators see it.
+    /// The kind of record, as displayed to operators.
     pub fn kind_name(&self) -> &'static str {
         match self {
             Record::Endpoint(_) => "endpoint",
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What the record describes, as operators see it.
+    /// What the record describes, as displayed to operators.
     pub fn subject(&self) -> String {
         match self {
             Record::Endpoint(record) => {
--- a/crates/snapshot/src/records/endpoint.rs
+++ b/crates/snapshot/src/records/endpoint.rs
@@ -1,4 +1,4 @@
-//! Records of single endpoints: how they behaved, and how they were listed.
+//! Records of single endpoints: their observed behavior and their entries in the endpoint list.
 
 use serde::{Deserialize, Serialize};
 use tidescale_policy::statistics::WeightedSum;
@@ -6,7 +6,7 @@
 
 use super::stored::{array, build_number, unix_micros};
 
-/// Identity of an endpoint's process. With another address, build or time of start it is another
+/// Identity of an endpoint's process. If address, build or start time differ, it is another
 /// process, even under the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Process {
@@ -19,12 +19,12 @@
     /// The build that it runs.
     #[serde(with = "build_number")]
     pub build: BuildNumber,
-    /// When it started; [`Timestamp::ZERO`] if it has run for longer than it takes to warm up.
+    /// Start time; [`Timestamp::ZERO`] if the process has run for longer than its warm-up takes.
     #[serde(rename = "started", with = "unix_micros")]
     pub started_at: Timestamp,
 }
 
-/// What was learned of one endpoint.
+/// Slowdown, load and ejection of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// When it was observed.
@@ -42,18 +42,18 @@
     /// Its last load report.
     #[serde(rename = "load")]
     pub reported_load: ReportedLoad,
-    /// It was ejected.
+    /// Whether it was ejected.
     #[serde(rename = "aside")]
     pub ejected: bool,
 }
 
-/// An endpoint's last load report; a pair of numbers in the file.
+/// An endpoint's last load report, stored as a pair of numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, u64)", into = "(f64, u64)")]
 pub struct ReportedLoad {
-    /// Requests that it was executing or holding, by its own count.
+    /// Number of requests that it was executing or holding, by its own count.
     pub in_flight: f64,
-    /// When it reported that.
+    /// When it sent the report.
     pub reported_at: Timestamp,
 }
 
@@ -72,15 +72,15 @@
     }
 }
 
-/// Outcomes of one endpoint under one build, for each of the policy's tests by its index.
+/// Attempt outcomes of one endpoint under one build, for each of the policy's tests by its index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    /// When they were observed: the time that the sums have decayed to.
+    /// Time of observation, which the sums are decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The process that the attempts went to.
     pub process: Process,
-    /// The build that the outcomes count for.
+    /// The build that the outcomes are attributed to.
     #[serde(with = "build_number")]
     pub build: BuildNumber,
     /// Decaying sums of outcomes, one for each test.
@@ -91,7 +91,7 @@
     pub failures: Vec<f64>,
 }
 
-/// One entry of the endpoint list as it was last received.
+/// One entry of the endpoint list that was last received.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpointRecord {
     /// When discovery last confirmed the list.
@@ -100,7 +100,7 @@
     /// Version of the list.
     #[serde(rename = "version")]
     pub list_version: u64,
-    /// The process that is listed.
+    /// The listed process.
     pub process: Process,
     /// Its availability zone.
     pub zone: String,
@@ -113,20 +113,20 @@
     pub state: ListedState,
 }
 
-/// State of an endpoint in the endpoint list; a removed endpoint is not in it.
+/// State of an endpoint in the endpoint list, which contains no removed endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum ListedState {
-    /// It takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// It finishes the requests that it has and takes no new ones.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// A word of the file that this version does not know; it is written back unchanged.
+    /// A stored value that this version does not know; it is written back unchanged.
     Unknown(String),
 }
 
 impl ListedState {
-    /// The word for the state in the file.
+    /// The stored value of the state.
     pub fn as_str(&self) -> &str {
         match self {
             ListedState::Ready => "active",
--- a/crates/snapshot/src/records/fleet.rs
+++ b/crates/snapshot/src/records/fleet.rs
@@ -1,5 +1,4 @@
-//! Records of what many endpoints have in common: hardware classes, routes, zones and the whole
-//! fleet.
+//! Records about groups of endpoints: hardware classes, routes, zones and the whole fleet.
 
 use serde::{Deserialize, Serialize};
 use tidescale_policy::snapshot::{ClassLatency, RouteLatency, ZoneSlowdownSums};
@@ -8,13 +7,13 @@
 
 use super::stored::{array, unix_micros, zone_pair};
 
-/// What was learned of the endpoints of one hardware class.
+/// Load, slowdown and baseline of the endpoints of one hardware class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HardwareClassRecord {
     /// When it was observed: the time that the sums have decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// The class as the endpoint list names it.
+    /// Name of the class in the endpoint list.
     #[serde(rename = "kind")]
     pub name: String,
     /// Decaying sum of the requests in flight that its endpoints reported, and number of reports.
@@ -24,7 +23,7 @@
     /// responses.
     #[serde(rename = "pace", with = "array")]
     pub slowdown: WeightedSum,
-    /// Decaying sums from before a rollout, when baselines are learned.
+    /// Decaying sums behind the baseline, which is learned only while no rollout is in progress.
     #[serde(rename = "usual", with = "array")]
     pub baseline: ClassLatency,
 }
@@ -35,14 +34,14 @@
     /// When it was observed: the time that the sums have decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// The route's name; empty for all routes together.
+    /// Name of the route; empty for all routes together.
     pub route: String,
     /// Decaying sums behind the baseline.
     #[serde(rename = "usual", with = "array")]
     pub baseline: RouteLatency,
 }
 
-/// The fleet before the rollout that is in progress.
+/// The fleet's baseline from before the rollout in progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetBaselineRecord {
     /// When the baseline was taken.
@@ -50,27 +49,28 @@
     pub observed_at: Timestamp,
     /// Number of outcomes.
     pub outcomes: f64,
-    /// Number of slow ones among them.
+    /// Number of slow outcomes among them.
     #[serde(rename = "hits")]
     pub failures: f64,
-    /// How unevenly both are spread over the endpoints.
+    /// How unevenly outcomes and failures are distributed over the endpoints.
     #[serde(rename = "spread", with = "array")]
     pub dispersion: Dispersion,
     /// Number of endpoints in service.
     #[serde(rename = "machines")]
     pub endpoints: usize,
-    /// Attempts a second that this instance made.
+    /// Attempts per second made by this instance.
     #[serde(rename = "sends")]
     pub attempts_per_second: f64,
 }
 
-/// How this instance's zone compares with the others.
+/// Slowdowns of this instance's zone and of the other zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZonesRecord {
     /// When it was observed: the time that the sums have decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// Decaying sum of the slowdowns and number of responses, of the own zone and of all others.
+    /// Decaying sum of the slowdowns and number of responses, for the instance's own zone and for
+    /// all others.
     #[serde(rename = "paces", with = "zone_pair")]
     pub slowdowns: ZoneSlowdownSums,
 }
--- a/crates/snapshot/src/records/rollout.rs
+++ b/crates/snapshot/src/records/rollout.rs
@@ -1,18 +1,18 @@
-//! Records of builds: the state of the newest build's rollout, rejected builds, and the builds that
-//! idempotency keys are bound to.
+//! Records of builds: the state of the newest build's rollout, rejected builds, and the lowest
+//! build allowed for each idempotency key.
 
 use serde::{Deserialize, Serialize};
 use tidescale_policy::types::{self, BuildNumber, StageIndex, Timestamp};
 
 use super::stored::{build_number, stage_index, unix_micros};
 
-/// A build that was rejected: this instance had found that it must be rolled back.
+/// A build that was rejected: this instance found that it has to be rolled back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RejectedBuildRecord {
     /// When it was rejected.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// The build.
+    /// The rejected build.
     #[serde(with = "build_number")]
     pub build: BuildNumber,
 }
@@ -30,7 +30,7 @@
     pub build: BuildNumber,
 }
 
-/// The state of the newest build's rollout, as the platform last announced it.
+/// State of the newest build's rollout, as last announced by the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// When it was stored.
@@ -39,37 +39,37 @@
     /// The newest build.
     #[serde(with = "build_number")]
     pub build: BuildNumber,
-    /// Stage of its evaluation, from 0.
+    /// Stage of its evaluation, counted from 0.
     #[serde(with = "stage_index")]
     pub stage: StageIndex,
     /// Phase of its rollout.
     pub phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
+    /// Share of the requests that may be routed to the build.
     #[serde(rename = "cap")]
     pub traffic_cap: f64,
-    /// When stage and phase began.
+    /// When the current stage and phase began.
     #[serde(with = "unix_micros")]
     pub since: Timestamp,
 }
 
-/// Phase of a rollout, in the words of the file.
+/// Phase of a rollout, as stored in the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub enum RolloutPhase {
     /// The build is under evaluation.
     Canary,
-    /// The build is being replaced by the one before.
+    /// The build is being replaced by the previous one.
     RollingBack,
-    /// The build serves everywhere.
+    /// The build is fully released.
     Released,
-    /// The build has been taken out.
+    /// The build was withdrawn.
     Withdrawn,
-    /// A word of the file that this version does not know; it is written back unchanged.
+    /// A stored value that this version does not know; it is written back unchanged.
     Unknown(String),
 }
 
 impl RolloutPhase {
-    /// The word for the phase in the file.
+    /// The stored value of the phase.
     pub fn as_str(&self) -> &str {
         match self {
             RolloutPhase::Canary => "trial",
--- a/crates/snapshot/src/records/stored.rs
+++ b/crates/snapshot/src/records/stored.rs
@@ -1,7 +1,7 @@
-//! How values of the policy are stored: conversions between its types and the numbers and arrays
-//! of the file, for `#[serde(with = "…")]`.
+//! Conversions between the policy's types and the numbers and arrays stored in the file, for
+//! `#[serde(with = "…")]`.
 
-/// Declares a module that stores a type as a number.
+/// Declares a `#[serde(with = "…")]` module that stores a type as a number.
 macro_rules! stored_as_number {
     ($(#[$attributes:meta])* $module:ident, $value:ident, $number:ty, $get:ident, $new:ident) => {
         $(#[$attributes])*
@@ -26,7 +26,7 @@
 }
 
 stored_as_number!(
-    /// A `Timestamp` is stored as the number of microseconds since the Unix epoch.
+    /// Stores a `Timestamp` as microseconds since the Unix epoch.
     unix_micros,
     Timestamp,
     u64,
@@ -34,7 +34,7 @@
     from_micros
 );
 stored_as_number!(
-    /// A `BuildNumber` is stored as its number.
+    /// Stores a `BuildNumber` as a number.
     build_number,
     BuildNumber,
     u32,
@@ -42,7 +42,7 @@
     new
 );
 stored_as_number!(
-    /// A `StageIndex` is stored as its number.
+    /// Stores a `StageIndex` as a number.
     stage_index,
     StageIndex,
     u32,
@@ -50,7 +50,7 @@
     new
 );
 
-/// Sums that belong together are stored as an array, in the order of the type's conversion.
+/// Stores a group of sums as an array, in the order that the type's conversion into an array has.
 pub(super) mod array {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Sums of each zone are stored as a pair of arrays: the own zone's, then the others'.
+/// Stores the sums by zone as a pair of arrays: first the own zone's, then the other zones'.
 pub(super) mod zone_pair {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use tidescale_policy::snapshot::{ByZone, ZoneSlowdownSums};
