--- a/crates/snapshot/src/scheduler.rs
+++ b/crates/snapshot/src/scheduler.rs
@@ -1,6 +1,6 @@
-//! Decides which background job runs next: the due job of the highest priority, if the budgets of
-//! time and bytes allow. It does not run jobs itself; the caller measures each slice of work and
-//! reports what it used.
+//! Selects the background job that runs next: the due job with the highest priority, provided that
+//! neither the time budget nor the byte budget is exhausted. It does not run jobs itself: the
+//! caller runs one slice of work and reports the time and bytes used.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::rate_limit::RateLimit;
 
-/// Limits of background work.
+/// Limits on background work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budgets {
     /// Working time per second.
@@ -18,28 +18,28 @@
     pub bytes_per_second: u64,
 }
 
-/// Identifies a job of the scheduler that returned it.
+/// Identifies a job within the scheduler that returned the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobId(usize);
 
 struct Job {
-    /// The job with the highest priority runs first.
+    /// Of the due jobs, the one with the highest value runs first.
     priority: u8,
     interval: Duration,
     due_at: Timestamp,
 }
 
-/// The jobs and their common budgets.
+/// The jobs and the budgets that they share.
 pub struct Scheduler {
     jobs: Vec<Job>,
-    /// In microseconds of working time.
+    /// Time budget; one token is one microsecond of working time.
     time: RateLimit,
-    /// In bytes written.
+    /// Byte budget; one token is one byte written.
     bytes: RateLimit,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs and with full budgets.
+    /// Creates a scheduler without jobs and with full budgets.
     pub fn new(budgets: Budgets, now: Timestamp) -> Scheduler {
         let micros_per_second = fractional_micros(budgets.time_per_second);
         Scheduler {
@@ -50,8 +50,8 @@
     }
 
     /// Adds a job that is first due at `first_due_at`, and then `interval` after each time it
-    /// finishes. Among due jobs the highest priority runs first, then the one that has been due the
-    /// longest.
+    /// finishes. Of the due jobs with the highest priority, the one that has been due the longest
+    /// runs first.
     pub fn add(&mut self, priority: u8, first_due_at: Timestamp, interval: Duration) -> JobId {
         self.jobs.push(Job {
             priority,
@@ -61,7 +61,8 @@
         JobId(self.jobs.len() - 1)
     }
 
-    /// The job that may do one slice of its work now.
+    /// The job that may run one slice of its work now; `None` if no job is due or a budget is
+    /// exhausted.
     pub fn next(&mut self, now: Timestamp) -> Option<JobId> {
         if !self.budget_wait(now).is_zero() {
             return None;
@@ -73,12 +74,12 @@
             .map(|(index, _)| JobId(index))
     }
 
-    /// Charges a slice's working time to the budget.
+    /// Charges the working time of a slice to the time budget.
     pub fn record_time(&mut self, time: Duration, now: Timestamp) {
         self.time.spend(fractional_micros(time), now);
     }
 
-    /// Charges bytes written to the budget.
+    /// Charges bytes written to the byte budget.
     pub fn record_bytes(&mut self, bytes: usize, now: Timestamp) {
         self.bytes.spend(bytes as f64, now);
     }
@@ -96,7 +97,7 @@
         Some(first_due_at.max(now + self.budget_wait(now)))
     }
 
-    /// Time until neither budget is overspent.
+    /// Time until both budgets have tokens again.
     fn budget_wait(&mut self, now: Timestamp) -> Duration {
         self.time.wait(now).max(self.bytes.wait(now))
     }
--- a/crates/snapshot/src/simulated_disk.rs
+++ b/crates/snapshot/src/simulated_disk.rs
@@ -1,6 +1,6 @@
-//! A simulated disk with the faults that a real one rarely shows. The power may fail at every step:
-//! a write, a sync, a rename or a sync of names. Of the changes that were not synced, any part
-//! survives, sector by sector and name by name.
+//! An in-memory [`Disk`] with injected faults that are rare on a real one. The power may fail at
+//! every step, that is in every call that changes the disk. After a power loss, a random subset of
+//! the changes that were not synced survives: each sector and each change of a name on its own.
 //!
 //! Deterministic: the same seed and the same calls give the same faults.
 
@@ -15,47 +15,47 @@
 
 use file_content::{FileContent, SECTOR_BYTES};
 
-/// With random faults, one step in this many fails: often enough for every kind of fault to occur,
-/// rarely enough for some saves to succeed.
+/// With random faults, one in this many steps fails on average: often enough that every kind of
+/// fault occurs, and rarely enough that some saves succeed.
 const STEPS_PER_FAULT: u64 = 12;
-/// Kinds of faults of a write.
+/// Number of kinds of write faults.
 const WRITE_FAULT_KINDS: u64 = 3;
-/// Most bytes of one write, so that a file takes many steps.
+/// Maximum number of bytes per write, so that writing a large file takes many steps.
 const MAX_WRITE_BYTES: usize = 3 * SECTOR_BYTES;
-/// Makes the random numbers that decide what survives a power loss differ from those that decide on
-/// faults after it.
+/// Separates the random numbers that select what survives a power loss from those that select the
+/// faults after it, which have the same seed.
 const SURVIVAL_SEED_MASK: u128 = 0x5eed;
 
-/// A fault planted on purpose, to show that the tests can fail.
+/// A fault that is injected to verify that the crash tests detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// No planted fault.
+    /// No injected fault.
     #[default]
     None,
-    /// Syncs of files do nothing.
+    /// File syncs have no effect.
     SkippedFileSync,
-    /// Syncs of names do nothing.
+    /// Directory syncs have no effect.
     SkippedDirectorySync,
-    /// The first power loss also flips one durable bit: the one fault that only a checksum detects.
+    /// The first power loss also flips one durable bit, which only a checksum can detect.
     BitRot,
 }
 
-/// The faults of a disk.
+/// The faults that a disk simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Whether single steps fail at random without a power loss.
+    /// Whether steps fail at random without a power loss.
     pub random_faults: bool,
-    /// The fault that is planted on purpose.
+    /// The fault that the crash tests have to detect.
     pub injected_fault: InjectedFault,
-    /// The step at which the power fails, counted from 1; `None` for never.
+    /// The step at which the power fails, counted from 1; `None` if it never fails.
     pub power_loss_at: Option<u64>,
 }
 
-/// Position of a file in the list of all files that were ever created.
+/// Index of a file in the list of all files ever created.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileIndex(usize);
 
-/// A change of names that is not durable yet.
+/// A change to the directory's names that is not durable yet.
 #[derive(Clone)]
 enum NameChange {
     Created {
@@ -72,19 +72,19 @@
     },
 }
 
-/// A disk with one directory.
+/// A simulated disk with one directory.
 #[derive(Clone)]
 pub struct SimulatedDisk {
     files: Vec<FileContent>,
-    /// Names as a reader sees them.
+    /// Names that are visible to a reader.
     names: BTreeMap<String, FileIndex>,
     /// Names that survive any power loss.
     durable_names: BTreeMap<String, FileIndex>,
-    /// Changes since the last sync of names, in order.
+    /// Changes since the last directory sync, in order.
     name_changes: Vec<NameChange>,
     rng: Rand64,
     faults: FaultPlan,
-    /// Number of steps since the power is on.
+    /// Number of steps since the power was last switched on.
     steps: u64,
     power_lost: bool,
 }
@@ -94,7 +94,7 @@
 }
 
 impl SimulatedDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new(seed: u64, faults: FaultPlan) -> SimulatedDisk {
         SimulatedDisk {
             files: Vec::new(),
@@ -113,7 +113,8 @@
         self.power_lost
     }
 
-    /// The disk after the power is on again. The next power loss is at step `power_loss_at`.
+    /// Returns the disk as it is when the power is back on. The seed selects what has survived and
+    /// the faults that follow; the next power loss is at step `power_loss_at`.
     pub fn after_power_loss(mut self, seed: u64, power_loss_at: Option<u64>) -> SimulatedDisk {
         let mut rng = Rand64::new(u128::from(seed) ^ SURVIVAL_SEED_MASK);
         for change in std::mem::take(&mut self.name_changes) {
@@ -126,7 +127,7 @@
         }
         if self.faults.injected_fault == InjectedFault::BitRot {
             self.flip_random_bit(&mut rng);
-            // Two generations tolerate one flipped bit, not one in each of them.
+            // Two generations tolerate a flipped bit in one of them, but not in both.
             self.faults.injected_fault = InjectedFault::None;
         }
         self.faults.power_loss_at = power_loss_at;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Flips one durable bit of one file that still has a name, if there is any.
+    /// Flips one durable bit in one of the files that still have a name, if there are any.
     fn flip_random_bit(&mut self, rng: &mut Rand64) {
         let named_files: Vec<FileIndex> = self.durable_names.values().copied().collect();
         if named_files.is_empty() {
@@ -170,10 +171,10 @@
         }
     }
 
-    /// Begins one step. If the step is to fail, returns a random number that selects the kind of
+    /// Begins a step. If the step has to fail, returns a random number that selects the kind of
     /// fault.
     ///
-    /// The step at which the power fails may still be carried out, but its caller gets an error.
+    /// The step at which the power fails may still take effect, but its caller gets an error.
     fn begin_step(&mut self) -> io::Result<Option<u64>> {
         self.check_power()?;
         self.steps += 1;
@@ -213,8 +214,8 @@
     }
 }
 
-/// A write that fails, is interrupted, or writes a part of the bytes. Returns the number of bytes
-/// that it writes.
+/// Simulates a write that fails, is interrupted, or writes only some of the bytes. Returns the
+/// number of bytes written.
 fn faulty_write(drawn: u64, requested: usize) -> io::Result<usize> {
     match drawn % WRITE_FAULT_KINDS {
         0 => Err(ErrorKind::StorageFull.into()),
@@ -223,7 +224,7 @@
     }
 }
 
-/// True in one of two cases.
+/// Returns `true` with a probability of one half.
 fn random_bool(rng: &mut Rand64) -> bool {
     rng.rand_u64().is_multiple_of(2)
 }
--- a/crates/snapshot/src/simulated_disk/file_content.rs
+++ b/crates/snapshot/src/simulated_disk/file_content.rs
@@ -1,26 +1,26 @@
-//! Content of one file on a simulated disk: its durable bytes, and the bytes that a reader sees.
+//! Content of a file on a simulated disk: its durable bytes and the bytes visible to a reader.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// A disk writes a sector completely or not at all.
+/// Size of a sector, which the disk writes completely or not at all.
 pub(super) const SECTOR_BYTES: usize = 512;
 
-/// One file's content.
+/// Content of one file.
 #[derive(Clone, Default)]
 pub(super) struct FileContent {
     /// The bytes that survive any power loss.
     durable: Vec<u8>,
-    /// The bytes that a reader sees.
+    /// The bytes that are visible to a reader.
     visible: Vec<u8>,
-    /// Sectors that were written and not synced.
+    /// Sectors written since the last sync.
     dirty: BTreeSet<usize>,
-    /// Sectors that a failed sync has dropped: no later sync writes them.
+    /// Sectors marked clean by a failed sync, which no later sync writes.
     dropped: BTreeSet<usize>,
 }
 
 impl FileContent {
-    /// The bytes that a reader sees.
+    /// The bytes that are visible to a reader.
     pub(super) fn visible(&self) -> &[u8] {
         &self.visible
     }
@@ -38,7 +38,7 @@
         self.dirty.extend(start / SECTOR_BYTES..=last_sector);
     }
 
-    /// Makes everything written durable, except for sectors that were dropped.
+    /// Makes all dirty sectors durable; dropped sectors stay volatile.
     pub(super) fn sync(&mut self) {
         for sector in std::mem::take(&mut self.dirty) {
             let range = self.sector_range(sector);
@@ -46,14 +46,14 @@
         }
     }
 
-    /// A failed sync: written sectors are marked clean and never reach the disk, so that the next
-    /// sync has nothing to do and succeeds.
+    /// Simulates a failed sync that marks dirty sectors as clean although they never reach the
+    /// disk, so that the next sync has nothing to write and succeeds.
     pub(super) fn drop_dirty(&mut self) {
         let dirty = std::mem::take(&mut self.dirty);
         self.dropped.extend(dirty);
     }
 
-    /// The content after a power loss; `survives` is called for each sector that was not synced.
+    /// The content after a power loss; `survives` is called for each sector that is not durable.
     pub(super) fn after_power_loss(&self, mut survives: impl FnMut() -> bool) -> FileContent {
         let mut content = self.durable.clone();
         for sector in self.dirty.union(&self.dropped) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Flips one of the durable bits.
+    /// Flips the durable bit at this index.
     pub(super) fn flip_bit(&mut self, bit: usize) {
         self.durable[bit / 8] ^= 1 << (bit % 8);
         self.visible = self.durable.clone();
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,6 +1,6 @@
 //! Stores two generations of snapshots in one directory.
 //!
-//! A snapshot is written to a new file, synced, and only then renamed to the file of the older
+//! A snapshot is written to a new file, synced, and only then renamed over the file of the older
 //! generation; the file of the newer generation is not touched. After a crash at any point, one of
 //! the last two complete snapshots can be read.
 
@@ -21,29 +21,29 @@
 pub use read::{Quarantine, ReadError, StoreContents, UnusableFile, read_newest};
 use slot::Slot;
 
-/// The file of a snapshot that is being written.
+/// Temporary file that a snapshot is written to before it replaces the older generation.
 const NEW_FILE: &str = "memory.new";
-/// Consecutive interruptions by signals after which a write fails.
+/// Maximum number of consecutive interruptions by signals before a write fails.
 const MAX_INTERRUPTIONS: usize = 100;
 
-/// Decodes the bytes of a file.
+/// A function that decodes the bytes of a file.
 pub type Decoder = fn(&[u8]) -> Result<Snapshot, FormatError>;
 
-/// Why a snapshot was not saved. The last snapshot that was saved is unchanged.
+/// The reason why a snapshot was not saved. The last snapshot saved is unchanged.
 #[derive(Debug, Error)]
 pub enum SaveError {
-    /// The new file cannot be written and synced.
+    /// The new file cannot be created, written or synced.
     #[error("cannot write {NEW_FILE}: {0}")]
     Write(#[source] io::Error),
     /// The new file cannot be renamed to the file of the older generation.
     #[error("cannot rename {NEW_FILE} to {slot}: {source}")]
     Rename {
-        /// The file of the older generation.
+        /// Name of the file of the older generation.
         slot: &'static str,
         /// The error of the disk.
         source: io::Error,
     },
-    /// The new name cannot be made to survive a power loss.
+    /// The directory cannot be synced, so that a power loss may undo the rename.
     #[error("cannot sync the directory: {0}")]
     SyncDirectory(#[source] io::Error),
 }
@@ -53,23 +53,24 @@
     disk: D,
     /// The slot of the older generation, which the next snapshot replaces.
     next_slot: Slot,
-    /// Sequence number of the last snapshot that was saved or attempted.
+    /// Sequence number of the last attempt to save a snapshot, or of the newest snapshot read.
     sequence: u64,
 }
 
 impl<D: Disk> Store<D> {
     /// Opens the directory: reads the newest complete snapshot, quarantines unreadable files and
-    /// removes an incomplete new file.
+    /// removes the temporary file of an interrupted save.
     pub fn open(disk: D) -> (Store<D>, StoreContents) {
         Store::open_with(disk, format::decode)
     }
 
-    /// The same with another decoder, for tests that show why the decoder's checks are needed.
+    /// Opens the directory with another decoder, for tests that show why the decoder's checks are
+    /// needed.
     pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, StoreContents) {
         let mut contents = StoreContents::default();
         let [first, second] =
             Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut contents));
-        // A save that was interrupted before the rename: it was never reported as done.
+        // The save was interrupted before the rename, so it was never reported as done.
         let _ = disk.remove(NEW_FILE);
         let store = Store {
             disk,
@@ -83,18 +84,18 @@
         (store, contents)
     }
 
-    /// Saves a snapshot and returns its length in bytes. After this has returned without an error,
+    /// Saves a snapshot and returns its length in bytes. Once this has returned without an error,
     /// the snapshot survives a power loss.
     ///
     /// # Errors
     ///
-    /// The first step that failed. The last snapshot that was saved still survives a power loss.
+    /// The step that failed. The last snapshot saved still survives a power loss.
     pub fn save(
         &mut self,
         written_at: Timestamp,
         records: Vec<Record>,
     ) -> Result<usize, SaveError> {
-        // A failed save may still have reached the disk, so its number is not used again.
+        // A failed save may have reached the disk all the same, so its number is not reused.
         self.sequence += 1;
         let bytes = format::encode(&Snapshot {
             sequence: self.sequence,
@@ -103,8 +104,8 @@
             unknown_records: 0,
         });
         if let Err(error) = self.replace_older_generation(&bytes) {
-            // After a failed sync the file may be readable from the page cache without being on the
-            // disk.
+            // After a failed sync, the file may be readable from the page cache although it is not
+            // on the disk.
             let _ = self.disk.remove(NEW_FILE);
             return Err(error);
         }
@@ -156,14 +157,14 @@
         &self.disk
     }
 
-    /// Closes the store and returns its disk.
+    /// Consumes the store and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
 /// Reads one generation and quarantines its file if it is unreadable. Returns the sequence number
-/// of its snapshot; 0 if there is none.
+/// of the snapshot, or 0 if there is none.
 fn open_slot<D: Disk>(
     disk: &mut D,
     slot: Slot,
@@ -185,11 +186,11 @@
     }
 }
 
-/// Removes all files that a store has written, and no others. Returns their number.
+/// Removes the files that a store has written or quarantined, and no others. Returns their number.
 ///
 /// # Errors
 ///
-/// The first removal that fails, or the sync after them.
+/// The error of listing the directory, of the first removal that fails, or of the directory sync.
 pub fn clear<D: Disk>(disk: &mut D) -> io::Result<usize> {
     let mut removed = 0;
     for name in disk.names()? {
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -1,4 +1,4 @@
-//! Renames files that cannot be read, so that they can be inspected, and limits their number.
+//! Renames unreadable files, so that they can be inspected later, and limits their number.
 
 use std::io;
 
@@ -6,18 +6,18 @@
 
 use super::{Quarantine, ReadError, Slot, UnusableFile};
 
-/// Prefix of the names of quarantined files; a rising number, a dot and the reason follow.
+/// Prefix of a quarantined file's name, followed by an increasing number, a dot and the reason.
 const PREFIX: &str = "set-aside.";
-/// Most quarantined files. The oldest are removed first, so that repeated failures do not fill the
-/// disk.
+/// Maximum number of quarantined files. The oldest ones are removed, so that repeated failures do
+/// not fill the disk.
 pub const MAX_QUARANTINED_FILES: usize = 4;
 
-/// Whether a file of this name is a quarantined file.
+/// Whether this is the name of a quarantined file.
 pub(super) fn is_quarantined(name: &str) -> bool {
     name.starts_with(PREFIX)
 }
 
-/// Renames the slot's file to a name with the reason for which it cannot be used.
+/// Renames the slot's file to a name that contains the reason why it cannot be used.
 pub(super) fn quarantine<D: Disk>(disk: &mut D, slot: Slot, error: ReadError) -> UnusableFile {
     let name = slot.file_name();
     let quarantine = match rename_to_quarantine(disk, name, error.label()) {
@@ -31,10 +31,10 @@
     }
 }
 
-/// A file in quarantine.
+/// A quarantined file.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QuarantinedFile<'a> {
-    /// The number in its name: the lower, the older.
+    /// The number in its name; older files have lower numbers.
     number: u64,
     name: &'a str,
 }
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -1,4 +1,4 @@
-//! Reads the two generations: the newest complete snapshot, and why a file cannot be used.
+//! Reads the two generations: finds the newest complete snapshot and the files that are unusable.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -10,19 +10,19 @@
 
 use super::{Decoder, Slot};
 
-/// Why a file cannot be used.
+/// The reason why a file cannot be used.
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// Reading its bytes failed.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// Its bytes are not a snapshot.
+    /// Its bytes cannot be decoded as a snapshot.
     #[error(transparent)]
     Format(#[from] FormatError),
 }
 
 impl ReadError {
-    /// One word for the reason, used in the name of the quarantined file.
+    /// The reason as one word, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             ReadError::Unreadable(_) => "unreadable",
@@ -31,10 +31,10 @@
     }
 }
 
-/// Whether an unusable file was moved out of the way.
+/// Whether an unusable file was quarantined.
 #[derive(Debug)]
 pub enum Quarantine {
-    /// The directory was only inspected, so the file stays.
+    /// The file was only read, so it keeps its name.
     NotAttempted,
     /// The file was renamed to this name.
     RenamedTo(String),
@@ -42,14 +42,14 @@
     Failed(io::Error),
 }
 
-/// A file that cannot be used; displayed as a line for operators.
+/// A file that cannot be used. Its `Display` form is one line for operators.
 #[derive(Debug)]
 pub struct UnusableFile {
-    /// Its name before it was quarantined.
+    /// Its name before quarantine.
     pub name: String,
-    /// Why it cannot be used.
+    /// The reason why it cannot be used.
     pub error: ReadError,
-    /// Whether it was moved out of the way.
+    /// Whether it was quarantined.
     pub quarantine: Quarantine,
 }
 
@@ -72,17 +72,17 @@
     }
 }
 
-/// The usable and unusable files of a directory.
+/// What was read from a directory: its newest snapshot and its unusable files.
 #[derive(Debug, Default)]
 pub struct StoreContents {
-    /// The newest complete snapshot, if there is any.
+    /// The newest complete snapshot, if any.
     pub snapshot: Option<Snapshot>,
     /// Files that cannot be used.
     pub unusable_files: Vec<UnusableFile>,
 }
 
 impl StoreContents {
-    /// Keeps the snapshot if it is newer than the newest one so far.
+    /// Keeps the snapshot if it is newer than the one held so far.
     pub(super) fn keep_if_newer(&mut self, snapshot: Snapshot) {
         let is_newer = self
             .snapshot
@@ -94,8 +94,8 @@
     }
 }
 
-/// Finds the newest complete snapshot in a directory, and the files that cannot be used. Changes
-/// nothing.
+/// Finds the newest complete snapshot in a directory and the files that cannot be used, without
+/// changing the directory.
 pub fn read_newest<D: Disk>(disk: &mut D) -> StoreContents {
     let mut contents = StoreContents::default();
     for slot in Slot::BOTH {
--- a/crates/snapshot/src/store/slot.rs
+++ b/crates/snapshot/src/store/slot.rs
@@ -1,11 +1,12 @@
 //! The two files of a store, one for each generation.
 
-/// One of the two files. The older generation is replaced by the next snapshot.
+/// One of the two files, each of which holds one generation. The next snapshot replaces the older
+/// generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Slot {
     /// The file that the first snapshot of a directory is written to.
     First,
-    /// The file that the second snapshot is written to.
+    /// The file that the second snapshot of a directory is written to.
     Second,
 }
 
@@ -21,7 +22,7 @@
         }
     }
 
-    /// The slot of the other generation.
+    /// Returns the slot of the other generation.
     pub(super) const fn other(self) -> Slot {
         match self {
             Slot::First => Slot::Second,
