--- a/crates/snapshot/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A directory of a test's own, builders of records, and a snapshot with a record of each kind.
-#![allow(dead_code, reason = "each test file uses some of it")]
+//! Test fixtures: temporary directories, example records, and a snapshot with every kind of record.
+#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
 
 use std::path::{Path, PathBuf};
 
@@ -16,13 +16,13 @@
 };
 use tidescale_snapshot::store::{Store, StoreContents};
 
-/// When the records that the builders return were observed.
+/// Time of observation of the example records.
 pub const OBSERVED_AT: Timestamp = Timestamp::from_micros(1_700_000_000 * 1_000_000);
 
-/// The build that the endpoints of the builders run.
+/// The build that the endpoint of the example records runs.
 pub const BUILD: BuildNumber = BuildNumber::new(7);
 
-/// A path of a test's own, removed with everything in it when the value is dropped.
+/// A path that only one test uses, removed with everything in it when the value is dropped.
 pub struct TestDirectory {
     pub path: PathBuf,
 }
@@ -44,19 +44,19 @@
     }
 }
 
-/// The store in a locked directory, and what it held.
+/// Locks the directory and opens its store. Returns the store and what was read from it.
 pub fn open_store(path: &Path) -> (Store<Directory>, StoreContents) {
     Store::open(Directory::lock(path).unwrap())
 }
 
-/// The file with its checksum computed again.
+/// The bytes of the file with the checksum recomputed.
 pub fn with_valid_checksum(mut bytes: Vec<u8>) -> Vec<u8> {
     let checksum = crc32fast::hash(&bytes[16..]);
     bytes[12..16].copy_from_slice(&checksum.to_be_bytes());
     bytes
 }
 
-/// The file of a snapshot with the records of this number.
+/// The bytes of a snapshot file with the records that `records_of` returns for the number.
 pub fn encoded_snapshot(sequence: u64, number: u64) -> Vec<u8> {
     encode(&Snapshot {
         sequence,
@@ -146,7 +146,7 @@
     }
 }
 
-/// The snapshot of the version-1 file.
+/// The snapshot that the file `version-1.memory` contains.
 pub fn snapshot_of_all_kinds() -> Snapshot {
     let records = [build_records(), fleet_and_endpoint_records()];
     Snapshot {
@@ -157,7 +157,7 @@
     }
 }
 
-/// The newest build's rollout, the build of a key and a rejected build.
+/// The newest build's rollout, the build of an idempotency key, and a rejected build.
 fn build_records() -> Vec<Record> {
     vec![
         Record::Rollout(RolloutRecord {
@@ -180,7 +180,7 @@
     ]
 }
 
-/// An endpoint, its outcomes and its entry in the list, and records of the fleet.
+/// An endpoint with its outcomes and its entry in the endpoint list, and records of the fleet.
 fn fleet_and_endpoint_records() -> Vec<Record> {
     vec![
         Record::Endpoint(endpoint_record()),
--- a/crates/snapshot/tests/compatibility.rs
+++ b/crates/snapshot/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Snapshot files that earlier versions of the program wrote: each value is read as it was
+//! Compatibility with snapshot files of earlier program versions: every value is decoded as it was
 //! written, and the same records are still encoded to the same bytes.
 
 mod common;
@@ -17,12 +17,12 @@
 /// Written at commit a3d70cc; see `data/README.md`.
 const ALL_RECORD_KINDS: &[u8] = include_bytes!("data/all-record-kinds.memory");
 
-/// Written by a proxy instance at the same commit.
+/// Written by a running proxy instance at the same commit.
 const RUNNING_PROXY: &[u8] = include_bytes!("data/running-proxy.memory");
-/// What that commit read from it, a line for each record.
+/// The records that the program at that commit decoded from it, one per line.
 const RUNNING_PROXY_RECORDS: &str = include_str!("data/running-proxy.records.txt");
 
-/// When most of the records were observed, in microseconds since the Unix epoch.
+/// Time of observation of most records, in microseconds since the Unix epoch.
 const OBSERVED_MICROS: u64 = 1_764_684_000_123_456;
 const OBSERVED_AT: Timestamp = Timestamp::from_micros(OBSERVED_MICROS);
 
@@ -93,7 +93,7 @@
     assert_eq!(encode(&decoded), RUNNING_PROXY);
 }
 
-/// A record's line in the form of [`RUNNING_PROXY_RECORDS`].
+/// Formats a record like a line of [`RUNNING_PROXY_RECORDS`].
 fn record_line(record: &Record) -> String {
     let content = match record {
         Record::Endpoint(record) => endpoint_line(record),
@@ -204,7 +204,7 @@
     texts.join(" ")
 }
 
-/// The snapshot that [`ALL_RECORD_KINDS`] holds.
+/// The snapshot that [`ALL_RECORD_KINDS`] contains.
 fn all_record_kinds() -> Snapshot {
     let records = [
         rollout_records(),
@@ -233,7 +233,7 @@
     }
 }
 
-/// One rollout in each phase.
+/// One rollout for each phase, including an unknown one.
 fn rollout_records() -> Vec<Record> {
     let rolling_back = RolloutRecord {
         stage: StageIndex::new(3),
@@ -386,7 +386,7 @@
     ]
 }
 
-/// The fleet's baseline and the zones.
+/// The fleet's baseline and the slowdowns by zone.
 fn fleet_records() -> Vec<Record> {
     vec![
         Record::FleetBaseline(FleetBaselineRecord {
@@ -411,7 +411,7 @@
     ]
 }
 
-/// An endpoint in each state of the list.
+/// One endpoint for each state in the endpoint list, including an unknown one.
 fn listed_endpoint_records() -> Vec<Record> {
     let ready = ListedEndpointRecord {
         observed_at: at(OBSERVED_MICROS - 250_000),
--- a/crates/snapshot/tests/crash_history.rs
+++ b/crates/snapshot/tests/crash_history.rs
@@ -1,4 +1,4 @@
-//! Power losses at every step of saving, and planted faults that must be detected.
+//! Crash tests of the store: a power loss at every step, and injected faults that must be detected.
 
 use std::ops::Range;
 
@@ -7,7 +7,7 @@
 use tidescale_snapshot::simulated_disk::InjectedFault;
 use tidescale_snapshot::store::Decoder;
 
-/// A planted fault, with the decoder to play it with.
+/// An injected fault and the decoder to simulate it with.
 struct FaultCase {
     injected_fault: InjectedFault,
     decode: Decoder,
--- a/crates/snapshot/tests/directory.rs
+++ b/crates/snapshot/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Directories that two processes want, that are removed, or that are files.
+//! Locking a directory twice, and saving after it was removed or replaced by a file.
 
 mod common;
 
--- a/crates/snapshot/tests/expiry.rs
+++ b/crates/snapshot/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! How much records count by their age, and what is restored of them.
+//! Weights of records by age, and what is restored of them.
 
 mod common;
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn wrong_clock_lets_no_record_count_for_more() {
-    // Time of observation and the age at `NOW`.
+    // Time of observation and expected age at `NOW`.
     let cases = [
         (NOW, Some(Duration::ZERO)),
         (
@@ -75,7 +75,7 @@
     }
 }
 
-/// A process that is listed under the name of the recorded one.
+/// A process listed under the name of the recorded one.
 struct ListedProcess {
     difference: &'static str,
     listed: Option<Process>,
@@ -306,7 +306,7 @@
     };
     let mut stored = observed.clone();
 
-    // Ten restarts a second apart, each writing what it has read.
+    // Ten restarts at intervals of one second, each of which stores what it has restored.
     for restarts in 1..=10 {
         let now = NOW + restarts * SECOND;
         let RestoredOutcomes { outcomes, failures } =
--- a/crates/snapshot/tests/format.rs
+++ b/crates/snapshot/tests/format.rs
@@ -1,4 +1,4 @@
-//! Files of this version, of version 1 and of later versions, and files that are damaged.
+//! Encoding and decoding of the current version, version 1, newer versions and damaged files.
 
 mod common;
 
@@ -11,7 +11,7 @@
 };
 use tidescale_snapshot::records::{KeyBuildRecord, Record};
 
-/// Written by version 1. It is never written again: every later version has to read it.
+/// Written by version 1 and never regenerated, since every later version has to read it.
 const VERSION_1_FILE: &[u8] = include_bytes!("version-1.memory");
 
 #[test]
@@ -48,7 +48,7 @@
     }
 }
 
-/// The file with the first occurrence of a word replaced by another of the same length.
+/// The file with the first occurrence of a word replaced by another word of the same length.
 fn with_word_replaced(file: &[u8], word: &str, replacement: &str) -> Vec<u8> {
     let start = file
         .windows(word.len())
@@ -71,7 +71,7 @@
     assert_eq!(decoded.unknown_records, 1);
 }
 
-/// A key build's record of a later version, with a field that this version does not know.
+/// A key build record of a newer program version, with a field that this version does not know.
 #[derive(serde::Serialize)]
 struct LaterKeyBuildRecord {
     seen: u64,
@@ -103,7 +103,7 @@
     assert_eq!(decoded.records, [expected]);
 }
 
-/// The file with a raw record appended, and a header that counts it.
+/// The file with a raw record appended and the header's length, record count and checksum updated.
 fn with_raw_record(mut file: Vec<u8>, raw_record: &[u8], record_count: u32) -> Vec<u8> {
     file.extend(raw_record);
     let body_bytes = (file.len() - HEADER_BYTES) as u64;
--- a/crates/snapshot/tests/scheduler.rs
+++ b/crates/snapshot/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Which background job runs next, and how the budgets limit it.
+//! Order of the background jobs, and the budgets that limit them.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A scheduler whose jobs may use 20 ms of time and 1 MB a second.
+/// A scheduler with budgets of 20 ms of working time and 1 MB written per second.
 fn scheduler() -> Scheduler {
     let budgets = Budgets {
         time_per_second: Duration::from_millis(20),
@@ -22,9 +22,9 @@
 /// A scheduler with two jobs.
 struct TwoJobs {
     scheduler: Scheduler,
-    /// Due at 0, of low priority.
+    /// Due at 0, with low priority.
     low: JobId,
-    /// Due at 500 µs, of high priority.
+    /// Due at 500 µs, with high priority.
     high: JobId,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// With the job of high priority finished, and 20 ms more used than the budget of time.
+    /// The jobs after the high-priority one has finished and the time budget is overspent by 20 ms.
     fn with_time_overspent() -> TwoJobs {
         let mut jobs = TwoJobs::new();
         jobs.scheduler.finish(jobs.high, at(500));
@@ -73,7 +73,7 @@
         ..
     } = TwoJobs::with_time_overspent();
 
-    // 20 ms are refilled within a second.
+    // The overspent 20 ms take one second to refill.
     assert_eq!(scheduler.next(at(900_000)), None);
     let wake_up = scheduler.next_wake_up(at(900_000)).unwrap();
     let expected = at(1_000_000)..at(1_000_700);
@@ -99,11 +99,12 @@
 
     let slices = run_slices(&mut scheduler, at(10_000_000), 5 * SECOND);
 
-    // 20 ms a second at 100 µs a slice are 200 slices a second, and the full bucket adds 200.
+    // A budget of 20 ms per second allows 200 slices of 100 µs per second. The bucket is full at
+    // the start, which allows another 200.
     assert!((900..=1250).contains(&slices), "{slices}");
 }
 
-/// Runs slices of 100 µs and 1000 bytes whenever the scheduler allows. Returns their number.
+/// Runs slices of 100 µs and 1000 bytes whenever the scheduler allows it. Returns their number.
 fn run_slices(scheduler: &mut Scheduler, start: Timestamp, run_time: Duration) -> u32 {
     let slice_time = Duration::from_micros(100);
     let mut now = start;
--- a/crates/snapshot/tests/store.rs
+++ b/crates/snapshot/tests/store.rs
@@ -1,4 +1,4 @@
-//! Files that cannot be read are quarantined, and the other generation is used.
+//! Quarantine of unreadable files, use of the other generation, and removal of a store's files.
 
 mod common;
 
@@ -9,14 +9,14 @@
 use tidescale_snapshot::format::{HEADER_BYTES, MAX_FILE_BYTES};
 use tidescale_snapshot::store::{self, MAX_QUARANTINED_FILES};
 
-/// A file that cannot be read.
+/// Content of a file that cannot be decoded.
 struct UnreadableFile {
-    /// The reason in the name of the quarantined file.
+    /// The expected reason in the name of the quarantined file.
     label: &'static str,
     bytes: Vec<u8>,
 }
 
-/// A file for each reason.
+/// Files for each reason why decoding fails.
 fn unreadable_files() -> Vec<UnreadableFile> {
     let whole = encoded_snapshot(9, 9);
     let changed = |start: usize, to: &[u8]| {
@@ -37,7 +37,7 @@
     ]
 }
 
-/// A directory with snapshot 1 in one generation, and these bytes in the other.
+/// A directory with snapshot 1 in one generation and these bytes in the other.
 fn directory_with_unreadable_generation(name: &str, bytes: &[u8]) -> TestDirectory {
     let directory = TestDirectory::new(name);
     let (mut store, _) = open_store(&directory.path);
@@ -94,7 +94,7 @@
     assert!(quarantined.is_dir());
 }
 
-/// Opens a store with an unreadable file this many times.
+/// Opens the directory's store `count` times, each time with a new unreadable file.
 fn quarantine_files(directory: &TestDirectory, count: usize) {
     for _ in 0..count {
         std::fs::write(directory.path.join("memory.0"), "noise").unwrap();
