--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,6 +1,6 @@
 //! Stores two generations of snapshots in one directory.
 //!
-//! A snapshot is written to a new file, synced, and only then renamed to the file of the older
+//! A snapshot is written to a new file, synced, and only then renamed over the file of the older
 //! generation; the file of the newer generation is not touched. After a crash at any point, one of
 //! the last two complete snapshots can be read.
 
@@ -18,34 +18,34 @@
 use crate::records::Record;
 
 pub use quarantine::MAX_QUARANTINED_FILES;
-pub use read::{Opened, Quarantine, ReadError, UnusableFile, newest};
+pub use read::{Quarantine, ReadError, StoreContents, UnusableFile, read_newest};
 use slot::Slot;
 
-/// The file of a snapshot that is being written.
+/// Temporary file that a snapshot is written to before it replaces the older generation.
 const NEW_FILE: &str = "memory.new";
-/// Consecutive interruptions by signals after which a write fails.
+/// Maximum number of consecutive interruptions by signals before a write fails.
 const MAX_INTERRUPTIONS: usize = 100;
 
-/// Decodes the bytes of a file.
+/// A function that decodes the bytes of a file.
 pub type Decoder = fn(&[u8]) -> Result<Snapshot, FormatError>;
 
-/// Why a snapshot was not saved. The last snapshot that was saved is unchanged.
+/// The reason why a snapshot was not saved. The last snapshot saved is unchanged.
 #[derive(Debug, Error)]
 pub enum SaveError {
-    /// The new file cannot be written and synced.
+    /// The new file cannot be created, written or synced.
     #[error("cannot write {NEW_FILE}: {0}")]
     Write(#[source] io::Error),
     /// The new file cannot be renamed to the file of the older generation.
     #[error("cannot rename {NEW_FILE} to {slot}: {source}")]
     Rename {
-        /// The file of the older generation.
+        /// Name of the file of the older generation.
         slot: &'static str,
         /// The error of the disk.
         source: io::Error,
     },
-    /// The new name cannot be made to survive a power loss.
+    /// The directory cannot be synced, so that a power loss may undo the rename.
     #[error("cannot sync the directory: {0}")]
-    SyncNames(#[source] io::Error),
+    SyncDirectory(#[source] io::Error),
 }
 
 /// A directory with two generations of snapshots.
@@ -53,23 +53,24 @@
     disk: D,
     /// The slot of the older generation, which the next snapshot replaces.
     next_slot: Slot,
-    /// Sequence number of the last snapshot that was saved or attempted.
+    /// Sequence number of the last attempt to save a snapshot, or of the newest snapshot read.
     sequence: u64,
 }
 
 impl<D: Disk> Store<D> {
     /// Opens the directory: reads the newest complete snapshot, quarantines unreadable files and
-    /// removes an incomplete new file.
-    pub fn open(disk: D) -> (Store<D>, Opened) {
+    /// removes the temporary file of an interrupted save.
+    pub fn open(disk: D) -> (Store<D>, StoreContents) {
         Store::open_with(disk, format::decode)
     }
 
-    /// The same with another decoder, for tests that show why the decoder's checks are needed.
-    pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, Opened) {
-        let mut opened = Opened::default();
+    /// Opens the directory with another decoder, for tests that show why the decoder's checks are
+    /// needed.
+    pub fn open_with(mut disk: D, decode: Decoder) -> (Store<D>, StoreContents) {
+        let mut contents = StoreContents::default();
         let [first, second] =
-            Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut opened));
-        // A save that was interrupted before the rename: it was never reported as done.
+            Slot::BOTH.map(|slot| open_slot(&mut disk, slot, decode, &mut contents));
+        // The save was interrupted before the rename, so it was never reported as done.
         let _ = disk.remove(NEW_FILE);
         let store = Store {
             disk,
@@ -80,21 +81,21 @@
             },
             sequence: first.max(second),
         };
-        (store, opened)
+        (store, contents)
     }
 
-    /// Saves a snapshot and returns its length in bytes. After this has returned without an error,
+    /// Saves a snapshot and returns its length in bytes. Once this has returned without an error,
     /// the snapshot survives a power loss.
     ///
     /// # Errors
     ///
-    /// The first step that failed. The last snapshot that was saved still survives a power loss.
+    /// The step that failed. The last snapshot saved still survives a power loss.
     pub fn save(
         &mut self,
         written_at: Timestamp,
         records: Vec<Record>,
     ) -> Result<usize, SaveError> {
-        // A failed save may still have reached the disk, so its number is not used again.
+        // A failed save may have reached the disk all the same, so its number is not reused.
         self.sequence += 1;
         let bytes = format::encode(&Snapshot {
             sequence: self.sequence,
@@ -102,9 +103,9 @@
             records,
             unknown_records: 0,
         });
-        if let Err(error) = self.replace_older(&bytes) {
-            // After a failed sync the file may be readable from the page cache without being on the
-            // disk.
+        if let Err(error) = self.replace_older_generation(&bytes) {
+            // After a failed sync, the file may be readable from the page cache although it is not
+            // on the disk.
             let _ = self.disk.remove(NEW_FILE);
             return Err(error);
         }
@@ -112,13 +113,13 @@
         Ok(bytes.len())
     }
 
-    fn replace_older(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
+    fn replace_older_generation(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
         self.write_new_file(bytes).map_err(SaveError::Write)?;
         let slot = self.next_slot.file_name();
         self.disk
             .rename(NEW_FILE, slot)
             .map_err(|source| SaveError::Rename { slot, source })?;
-        self.disk.sync_names().map_err(SaveError::SyncNames)
+        self.disk.sync_directory().map_err(SaveError::SyncDirectory)
     }
 
     fn write_new_file(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -156,35 +157,40 @@
         &self.disk
     }
 
-    /// Closes the store and returns its disk.
+    /// Consumes the store and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
 /// Reads one generation and quarantines its file if it is unreadable. Returns the sequence number
-/// of its snapshot; 0 if there is none.
-fn open_slot<D: Disk>(disk: &mut D, slot: Slot, decode: Decoder, opened: &mut Opened) -> u64 {
+/// of the snapshot, or 0 if there is none.
+fn open_slot<D: Disk>(
+    disk: &mut D,
+    slot: Slot,
+    decode: Decoder,
+    contents: &mut StoreContents,
+) -> u64 {
     match read::read_slot(disk, slot, decode) {
         None => 0,
         Some(Ok(snapshot)) => {
             let sequence = snapshot.sequence;
-            opened.offer(snapshot);
+            contents.keep_if_newer(snapshot);
             sequence
         }
         Some(Err(error)) => {
             let file = quarantine::quarantine(disk, slot, error);
-            opened.unusable_files.push(file);
+            contents.unusable_files.push(file);
             0
         }
     }
 }
 
-/// Removes all files that a store has written, and no others. Returns their number.
+/// Removes the files that a store has written or quarantined, and no others. Returns their number.
 ///
 /// # Errors
 ///
-/// The first removal that fails, or the sync after them.
+/// The error of listing the directory, of the first removal that fails, or of the directory sync.
 pub fn clear<D: Disk>(disk: &mut D) -> io::Result<usize> {
     let mut removed = 0;
     for name in disk.names()? {
@@ -194,6 +200,6 @@
             removed += 1;
         }
     }
-    disk.sync_names()?;
+    disk.sync_directory()?;
     Ok(removed)
 }
