--- a/crates/proxy/tests/codecs/configuration.rs
+++ b/crates/proxy/tests/codecs/configuration.rs
@@ -1,10 +1,10 @@
-//! The configuration file.
+//! Parsing of the configuration file.
 
 use tidescale_proxy::config::{self, Config};
 
 const VALID: &str = include_str!("../config.json");
 
-/// The configuration of an instance, as in the repository.
+/// The configuration that the proxy's tests share.
 pub fn valid_config() -> Config {
     config::parse(VALID).ok().unwrap()
 }
--- a/crates/proxy/tests/codecs/endpoint_responses.rs
+++ b/crates/proxy/tests/codecs/endpoint_responses.rs
@@ -1,4 +1,4 @@
-//! The errors and load reports of endpoints.
+//! Errors and load reports in the responses of endpoints.
 
 use tidescale_policy::types::{AttemptOutcome, LoadReport};
 use tidescale_proxy::{load_report, upstream};
--- a/crates/proxy/tests/codecs/main.rs
+++ b/crates/proxy/tests/codecs/main.rs
@@ -1,4 +1,5 @@
-//! Codecs: bytes and text in, typed values out, however the input is split.
+//! Decoding and encoding of protocol messages, HTTP responses, configurations and statements. Where
+//! input arrives in parts, the result must not depend on where it is split.
 
 mod configuration;
 mod endpoint_responses;
--- a/crates/proxy/tests/codecs/message_bodies.rs
+++ b/crates/proxy/tests/codecs/message_bodies.rs
@@ -1,4 +1,4 @@
-//! The bodies of PostgreSQL messages.
+//! Decoding and encoding of the bodies of PostgreSQL messages.
 
 use tidescale_proxy::postgres::{
     self, EndpointMessage, ErrorResponse, Frame, Severity, complete_frame, sqlstate,
@@ -52,7 +52,7 @@
     );
 }
 
-/// A description of one column, `data`, of type `bytea` and in binary format.
+/// The body of a RowDescription of one column, `data`, of type `bytea` and in binary format.
 const ROW_DESCRIPTION: [u8; 25] =
     *b"\0\x01data\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
--- a/crates/proxy/tests/codecs/message_chain.rs
+++ b/crates/proxy/tests/codecs/message_chain.rs
@@ -1,10 +1,10 @@
-//! Chains of buffers with bytes of a test.
+//! Conversion between byte slices and chains of buffers.
 
 use tidescale_proxy::buffers::{Chain, Pool};
 
-/// Bytes before the body of a PostgreSQL message: the type and the length.
+/// Size of the header of a PostgreSQL message in bytes: the type byte and the length field.
 pub const MESSAGE_HEADER_SIZE: usize = 5;
-/// More buffers than a test uses.
+/// Buffers in the pool of a chain; more than any test uses.
 const POOL_CAPACITY: usize = 64;
 
 /// A chain that holds these bytes.
--- a/crates/proxy/tests/codecs/message_types.rs
+++ b/crates/proxy/tests/codecs/message_types.rs
@@ -9,20 +9,20 @@
 
 use crate::message_chain::{MESSAGE_HEADER_SIZE, chain_of};
 
-/// Bytes of the length field, which the length of a message includes.
+/// Size of the length field in bytes. The length of a message includes it.
 const LENGTH_FIELD_SIZE: u32 = 4;
 
-/// The longest body of a query: a value of 64 KiB in hexadecimal, and the statement around it.
+/// Maximum body of a query in bytes: a value of 64 KiB in hexadecimal, and the statement around it.
 const MAX_QUERY_BODY: u32 = 2 * 64 * 1024 + 4096;
-/// The longest body of a data row.
+/// Maximum body of a DataRow message in bytes.
 const MAX_DATA_ROW_BODY: u32 = 1024 * 1024;
-/// The longest body of a message with neither a statement nor a value.
+/// Maximum body in bytes of a message that carries neither a statement nor a value.
 const MAX_OTHER_BODY: u32 = 8 * 1024;
 
-/// Finds the first frame of a chain by its head.
+/// Decodes the header of the first message of a chain.
 type HeaderDecoder<Kind> = fn(&Chain) -> Result<Option<Frame<Kind>>, ProtocolError>;
 
-/// A type byte, the kind of message it stands for, and the longest body.
+/// A type byte, the kind of message it stands for, and the maximum body in bytes.
 type MessageType<Kind> = (u8, Kind, u32);
 
 const CLIENT_MESSAGES: [MessageType<ClientMessage>; 13] = [
@@ -53,14 +53,14 @@
     (b'Z', EndpointMessage::ReadyForQuery, 1),
 ];
 
-/// The head of a message with a body of this length.
+/// The header of a message with a body of this length.
 fn message_header(type_byte: u8, body: u32) -> Chain {
     let length = (body + LENGTH_FIELD_SIZE).to_be_bytes();
     chain_of(&[&[type_byte][..], &length].concat())
 }
 
-/// Checks all 256 type bytes: those in the table have their kind and longest body, all others are
-/// rejected.
+/// Checks all 256 type bytes: those in the table have the given kind and maximum body, all others
+/// are rejected.
 fn check_type_bytes<Kind>(message_types: &[MessageType<Kind>], decode_header: HeaderDecoder<Kind>)
 where
     Kind: Copy + Debug + PartialEq,
--- a/crates/proxy/tests/codecs/rollout_status.rs
+++ b/crates/proxy/tests/codecs/rollout_status.rs
@@ -1,4 +1,4 @@
-//! The platform's events.
+//! Parsing of the platform's events.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
@@ -9,7 +9,8 @@
 const SEED: u64 = 1;
 const STATUS: &str = "data: version=42&step=1&status=trial&maxWeight=0.28&observedAgoMs=310";
 
-/// Whether the event is valid, and whether the policy knows of a rollout after it.
+/// Applies an event to a new policy. Returns the result, and whether the policy knows of a rollout
+/// afterwards.
 fn apply_event(lines: &str) -> (Result<(), EventError>, bool) {
     let mut policy = Balancer::new(valid_config().settings, SEED, Timestamp::ZERO);
     let result = rollout_status::apply_event(lines, &mut policy);
