--- a/crates/proxy/tests/log_lines/capture.rs
+++ b/crates/proxy/tests/log_lines/capture.rs
@@ -1,20 +1,20 @@
-//! Captures the lines of the log.
+//! A slog drain that captures log lines for comparison.
 
 use std::fmt::Arguments;
 use std::sync::{Arc, Mutex};
 
 use slog::{Drain, KV, Level, Logger, Never, OwnedKVList, Record, Serializer, o};
 
-/// A captured line: its level, and its message and key-value pairs as the log prints them.
+/// A captured log line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Line {
-    /// The level.
+    /// The severity.
     pub level: Level,
-    /// The message and the pairs, in the order of the source.
+    /// The message and the key-value pairs, in source order and separated by `, `.
     pub text: String,
 }
 
-/// Captures lines in place of printing them.
+/// Stores log lines instead of printing them.
 #[derive(Clone, Default)]
 struct CapturingDrain(Arc<Mutex<Vec<Line>>>);
 
@@ -26,7 +26,7 @@
         let mut pairs = KeyValuePairs::default();
         record.kv().serialize(record, &mut pairs).unwrap();
         let mut text = record.msg().to_string();
-        // The pairs are visited from the last one to the first, as the log prints them.
+        // slog visits the pairs from the last to the first, which is also the order in the log.
         for (key, value) in pairs.0.iter().rev() {
             text += &format!(", {key}: {value}");
         }
@@ -38,6 +38,7 @@
     }
 }
 
+/// Collects the key-value pairs of a record as text.
 #[derive(Default)]
 struct KeyValuePairs(Vec<(String, String)>);
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// The one line that a function logs.
+/// Returns the line that a function logs. Panics unless it logs exactly one.
 pub fn capture(log_line: impl FnOnce(&Logger)) -> Line {
     let drain = CapturingDrain::default();
     log_line(&Logger::root(drain.clone(), o!()));
@@ -57,7 +58,8 @@
     lines.pop().unwrap()
 }
 
-/// A line in the format of the log: keys in reverse order, after time and level.
+/// Formats a line as the log prints it: a fixed time, the level INFO, the message, and the pairs in
+/// reverse order.
 pub fn printed_line(line: &Line) -> String {
     let mut parts: Vec<&str> = line.text.split(", ").collect();
     let message = parts.remove(0);
--- a/crates/proxy/tests/log_lines/cases.rs
+++ b/crates/proxy/tests/log_lines/cases.rs
@@ -1,4 +1,4 @@
-//! The log lines, and the functions that log them.
+//! The expected log line of each function in `log_lines`.
 
 use std::fmt;
 use std::path::Path;
@@ -12,13 +12,13 @@
 use tidescale_proxy::log_lines::{self, AddressChanges, RestoredSnapshot};
 use tidescale_proxy::postgres::ErrorResponse;
 
-/// A function that logs one line, and the line that it is expected to log.
+/// A function that logs one line, and the line expected of it.
 pub struct Case {
-    /// Logs the line.
+    /// Calls the function under test.
     pub log_line: fn(&Logger),
-    /// The expected level.
+    /// The expected severity.
     pub level: Level,
-    /// The expected message and keys, in the order of the source.
+    /// The expected message and key-value pairs, in source order.
     pub text: &'static str,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Any error.
+/// An error with the text `reason`, for the lines that print any error.
 struct AnyError;
 
 impl fmt::Display for AnyError {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A verdict to roll back build 42.
+/// A verdict that rolls back build 42.
 pub fn verdict() -> RollbackVerdict {
     RollbackVerdict {
         build: BuildNumber::new(42),
--- a/crates/proxy/tests/log_lines/main.rs
+++ b/crates/proxy/tests/log_lines/main.rs
@@ -1,5 +1,5 @@
-//! The messages and keys of all log lines, which operators filter by, and how `tidescale explain`
-//! reads verdicts.
+//! The messages and keys of all log lines, which operators filter by, and the output of
+//! `tidescale explain`.
 
 mod capture;
 mod cases;
@@ -10,9 +10,9 @@
 use capture::{Line, capture};
 use cases::all_cases;
 
-/// The page that explains the log lines to operators.
+/// The operators' documentation of the log lines.
 const ON_CALL_PAGE: &str = include_str!("../../../../docs/on-call.md");
-/// The sources, of which only `log_lines.rs` may log from level info up.
+/// The source directory of the proxy. Only `log_lines.rs` in it may log at level info or above.
 const SOURCE_DIRECTORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/src");
 
 #[test]
@@ -44,7 +44,7 @@
     );
 }
 
-/// All files below a directory.
+/// All files in a directory and its subdirectories.
 fn files_below(directory: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     let mut directories = vec![directory.to_path_buf()];
