--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The states of a shutdown after SIGTERM.
+//! The deadlines and steps of a graceful shutdown after SIGTERM.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tidescale_policy::types::Timestamp;
 use tidescale_proxy::shutdown::{DrainTimes, Shutdown, ShutdownStep};
 
-/// When SIGTERM arrives.
+/// When SIGTERM is received.
 const START: Timestamp = Timestamp::from_micros(10_000_000);
 
 fn after_ms(ms: u64) -> Timestamp {
@@ -14,9 +14,9 @@
 }
 
 struct DrainCase {
-    /// The longest time limit of a request.
+    /// The longest time limit of any request.
     longest_request_ms: u64,
-    /// Expected times after SIGTERM.
+    /// The expected times after SIGTERM.
     attempt_deadline_ms: u64,
     shutdown_deadline_ms: u64,
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The step at a time after SIGTERM.
+/// The expected step at a time after SIGTERM.
 struct StepCase {
     at_ms: u64,
     is_idle: bool,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Checks the steps of one shutdown of a proxy whose requests last up to 1.2 s.
+/// Checks the steps of one shutdown of a proxy whose longest request time limit is 1.2 s.
 fn check_steps(name: &str, cases: &[StepCase]) {
     let mut shutdown = Shutdown::new(Duration::from_millis(1200));
     assert_eq!(shutdown.step(START, || true), ShutdownStep::Continue);
--- a/crates/proxy/tests/tables/arrivals.rs
+++ b/crates/proxy/tests/tables/arrivals.rs
@@ -1,4 +1,4 @@
-//! The arrival times of the bytes of a connection.
+//! Arrival times of the bytes of a connection.
 
 use tidescale_policy::types::Timestamp;
 use tidescale_proxy::clients::arrivals::Arrivals;
@@ -34,6 +34,6 @@
 
     assert_eq!(arrivals.consume(255, now), at(255));
     assert_eq!(arrivals.consume(1, now), at(256));
-    // Too early, but never too late.
+    // Beyond the limit, the reported time may be too early, but never too late.
     assert_eq!(arrivals.consume(44, now), at(256));
 }
--- a/crates/proxy/tests/tables/attempt_errors.rs
+++ b/crates/proxy/tests/tables/attempt_errors.rs
@@ -1,4 +1,4 @@
-//! The outcome of attempts whose connection failed.
+//! Outcome and error text of attempts that failed on their connection.
 
 use std::io;
 
--- a/crates/proxy/tests/tables/buffers.rs
+++ b/crates/proxy/tests/tables/buffers.rs
@@ -4,12 +4,12 @@
 
 use tidescale_proxy::buffers::{BUFFER_SIZE, Chain, FillStatus, Pool};
 
-/// Buffers in the pool of a test.
+/// Number of buffers in the pool of a test.
 const POOL_CAPACITY: usize = 4;
-/// More bytes than the pool has room for.
+/// A length in bytes beyond the capacity of the pool, which no fill can reach.
 const UNREACHABLE_LENGTH: usize = 1 << 20;
 
-/// Returns its bytes in reads of limited length, then `WouldBlock`.
+/// A reader that returns at most `max_read` bytes per call, and `WouldBlock` after the last byte.
 struct LimitedReader {
     bytes: Vec<u8>,
     max_read: usize,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Accepts bytes up to a capacity, then returns `WouldBlock`.
+/// A writer that accepts `capacity` bytes in total, and then returns `WouldBlock`.
 struct LimitedWriter {
     written: Vec<u8>,
     capacity: usize,
@@ -49,14 +49,14 @@
     }
 }
 
-/// A message that needs all buffers of the pool.
+/// A message that fills all buffers of the pool.
 fn long_message() -> Vec<u8> {
     (0..3 * BUFFER_SIZE + 100)
         .map(|index| (index % 251) as u8)
         .collect()
 }
 
-/// Fills a chain from a reader with these bytes.
+/// Fills a chain from a [`LimitedReader`] with these bytes.
 fn fill(chain: &mut Chain, bytes: Vec<u8>, max_read: usize) -> FillStatus {
     let mut reader = LimitedReader { bytes, max_read };
     chain.fill(&mut reader, UNREACHABLE_LENGTH).unwrap()
@@ -81,7 +81,7 @@
         assert_eq!(chain.len(), message.len());
         assert!(pool.is_exhausted());
 
-        // An empty pool stops reading, but neither passing on nor writing.
+        // An exhausted pool stops reads, but neither moves between chains nor writes.
         assert_eq!(
             fill(&mut chain, vec![1; BUFFER_SIZE], max_read),
             FillStatus::PoolExhausted
--- a/crates/proxy/tests/tables/connection_stages.rs
+++ b/crates/proxy/tests/tables/connection_stages.rs
@@ -1,10 +1,10 @@
-//! The index of connections by stage.
+//! The index of connections by stage, which determines the order of eviction.
 
 use tidescale_policy::types::Timestamp;
 use tidescale_proxy::clients::stages::{ConnectionsByStage, Stage};
 use tidescale_proxy::ids::{ClientKey, SlotKey};
 
-/// The number of a connection, its stage, and since when, in microseconds.
+/// The number of a connection, its stage, and when it entered the stage, in microseconds.
 const ENTRIES: [(u64, Stage, u64); 9] = [
     (1, Stage::AwaitingResponse, 1),
     (2, Stage::Writing, 1),
@@ -29,7 +29,7 @@
     SlotKey::from(connection).get()
 }
 
-/// All connections of [`ENTRIES`].
+/// An index of all connections in [`ENTRIES`].
 fn recorded_connections() -> ConnectionsByStage {
     let mut connections = ConnectionsByStage::default();
     for (number, stage, since) in ENTRIES {
--- a/crates/proxy/tests/tables/deadlines.rs
+++ b/crates/proxy/tests/tables/deadlines.rs
@@ -5,10 +5,12 @@
 use tidescale_policy::types::Timestamp;
 use tidescale_proxy::deadlines::Deadlines;
 
-/// More deadlines than a test sets, so that a table that repeats one fails a test and does not hang it.
+/// More deadlines than any test sets. Without this bound, a table that returns the same deadline
+/// repeatedly would hang the test instead of failing it.
 const MAX_DUE: usize = 10;
 
-/// The owners whose deadlines have expired by `now`, in microseconds, in the order of expiry.
+/// Removes all deadlines that have expired by `now`, in microseconds. Returns their owners in the
+/// order of expiry.
 fn pop_all_due(deadlines: &mut Deadlines<&'static str>, now: u64) -> Vec<&'static str> {
     let due = iter::from_fn(|| deadlines.pop_due(Timestamp::from_micros(now)));
     due.take(MAX_DUE).collect()
--- a/crates/proxy/tests/tables/log_rate_limit.rs
+++ b/crates/proxy/tests/tables/log_rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit of log lines.
+//! The rate limit of the log lines of a call site.
 
 use std::time::{Duration, Instant};
 
--- a/crates/proxy/tests/tables/main.rs
+++ b/crates/proxy/tests/tables/main.rs
@@ -1,4 +1,4 @@
-//! State that the proxy keeps in memory, tested without sockets.
+//! The proxy's in-memory data structures, tested without sockets.
 
 mod arrivals;
 mod attempt_errors;
--- a/crates/proxy/tests/tables/slots.rs
+++ b/crates/proxy/tests/tables/slots.rs
@@ -1,15 +1,15 @@
-//! Tables of slots.
+//! Tables of slots with a fixed capacity, whose keys become invalid when their entry is removed.
 
 use std::convert::Infallible;
 
 use tidescale_proxy::slots::Slots;
 
-/// A table for two names.
+/// An empty table with two slots.
 fn two_slots() -> Slots<&'static str> {
     Slots::new(2)
 }
 
-/// A constructor that succeeds.
+/// The result of a constructor that succeeds.
 #[expect(
     clippy::unnecessary_wraps,
     reason = "the table takes constructors that may fail"
