--- a/crates/proxy/tests/loopback/common.rs
+++ b/crates/proxy/tests/loopback/common.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for endpoints, discovery and the platform, a proxy under test and its clients.
+//! Test support: stand-ins for endpoints, discovery and the platform, the proxy under test, and its
+//! clients.
 
 mod client;
 mod configuration;
@@ -22,5 +23,5 @@
 pub use protocol::*;
 pub use system::*;
 
-/// A test fails if what it waits for takes longer than this.
+/// Maximum wait for any event. A test whose event takes longer fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/proxy/tests/loopback/main.rs
+++ b/crates/proxy/tests/loopback/main.rs
@@ -1,4 +1,5 @@
-//! The proxy on loopback sockets, with stand-ins for endpoints, discovery and the platform; one module a subject.
+//! The proxy on loopback sockets, with stand-ins for endpoints, discovery and the platform. One
+//! module per subject.
 
 mod client_limits;
 mod clients;
