--- a/crates/proxy/tests/loopback/clients.rs
+++ b/crates/proxy/tests/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they send, the responses that they get, and how they disconnect.
+//! Client connections: requests, responses, invalid input and disconnects.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use crate::common::*;
 
-/// An endpoint observes what a client causes within this time.
+/// The longest time until an endpoint observes the effect of a client's action.
 const OBSERVATION_LIMIT: Duration = Duration::from_millis(1000);
 
 #[test]
@@ -139,7 +139,7 @@
     client.send(&query("look", 1, 1200));
     endpoint.events.wait_for(1, OBSERVATION_LIMIT);
 
-    // More than the proxy reads ahead of a pending request.
+    // More than the proxy reads ahead while a request is pending.
     let unread: Vec<u8> = (100..700).flat_map(|id| query("look", id, 1200)).collect();
     client.send(&unread);
     client.disconnect();
@@ -155,7 +155,7 @@
     );
 }
 
-/// A policy that knows the configured endpoints and only the first of the configured routes.
+/// A policy with all configured endpoints but only the first configured route.
 fn policy_with_one_route(config: &ProxyConfig) -> Balancer {
     let mut config = config::parse(&config.text()).ok().unwrap();
     config.settings.routes.truncate(1);
@@ -177,14 +177,14 @@
     let config = ProxyConfig::new()
         .endpoint(endpoint.address)
         .long_deadline();
-    // A request of the second route makes the policy panic.
+    // The policy panics on a request of the second route, which it does not have.
     let policy = policy_with_one_route(&config);
     let events = endpoint.events;
 
     let scenario = move |address: SocketAddr| {
         let [mut triggering, mut other] = [(); 2].map(|()| Client::admitted(address));
-        // One request is pending meanwhile, without a time limit but its own deadline: the event loop is blocked while
-        // the panic's backtrace is printed.
+        // Another request is pending meanwhile. Its only time limit is its own deadline, since
+        // printing the panic's backtrace blocks the event loop.
         other.send(&query("look", 2, 8000));
         wait_until("no query received", || !events.all().is_empty());
         assert_eq!(triggering.request(&query("pay", 1, 900)), Response::Closed);
@@ -198,7 +198,8 @@
     with_proxy(&config, |proxy| proxy.policy = policy, scenario);
 }
 
-/// Sends a message that is never completed, and checks on a thread of its own that it is refused within this range.
+/// Sends a message that is never completed, and checks on a separate thread that the time until it
+/// is rejected is in this range.
 fn assert_refused_within(
     address: SocketAddr,
     incomplete_message: &[u8],
@@ -215,10 +216,11 @@
     })
 }
 
-/// The head of a message whose length is not allowed.
+/// The tag and the length of a message that is too long.
 const HEAD_WITH_EXCESSIVE_LENGTH: &[u8] = b"Q\x03\x93\x87\0";
 
-/// Checks that a client that sends megabytes after an excessive length reads its error, although it reads late.
+/// Checks that a client receives the error for a message that is too long, even if it sends much
+/// more data before it reads.
 fn assert_error_is_read_after_megabytes(address: SocketAddr) {
     let mut client = Client::connect(address);
     client.send_with_startup(HEAD_WITH_EXCESSIVE_LENGTH);
@@ -229,8 +231,8 @@
     assert!(matches!(client.response(), Response::FatalError(_)));
 }
 
-/// Checks that hundreds of requests in one write are answered in their order: more than is read at a time, and more
-/// responses than may be buffered.
+/// Checks that 400 requests in one write are answered in order. They are more than the proxy reads
+/// at a time, and their responses are more than it may buffer.
 fn assert_pipelined_requests_are_answered_in_order(address: SocketAddr) {
     let is_valid = |index: u32| index.is_multiple_of(20);
     let message = |index| {
@@ -263,7 +265,7 @@
     silent[1].send(&startup()[..9]);
     assert_eq!(silent[2].request(&startup()), Response::Admitted);
 
-    // An excessive length is refused as soon as the head is read.
+    // An excessive length is rejected as soon as it has been read.
     let incomplete = &query("look", 1, 900)[..30];
     let excessive = [HEAD_WITH_EXCESSIVE_LENGTH, b"SELECT"].concat();
     let milliseconds =
--- a/crates/proxy/tests/loopback/reload.rs
+++ b/crates/proxy/tests/loopback/reload.rs
@@ -1,11 +1,11 @@
-//! SIGHUP.
+//! Reloading the configuration on SIGHUP.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 use crate::common::*;
 
-/// Discovery and the platform at one address each, and the endpoint that discovery lists.
+/// A discovery service, the endpoint that it lists, and a platform.
 struct TestServers {
     endpoint: TestEndpoint,
     discovery: HttpServer,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Writes the configuration file, or removes it, and signals that to the proxy.
+/// Writes the configuration file, or removes it if there is no text, and sends SIGHUP to the proxy.
 fn reload(proxy: &mut RunningProxy, text: Option<&str>) {
     match text {
         Some(text) => std::fs::write(&proxy.config_path, text).unwrap(),
@@ -56,7 +56,7 @@
         .platform(later.platform.address)
         .text();
 
-    // Missing, truncated, invalid: the proxy continues with the configuration that it has.
+    // If the file is missing, truncated or invalid, the proxy keeps its current configuration.
     let truncated = &new_text[..new_text.len() / 2];
     let invalid = &new_text.replace("\"rules\"", "\"rulez\"");
     for text in [None, Some(truncated), Some(invalid)] {
@@ -76,7 +76,7 @@
     assert!(later.discovery.requests()[0].starts_with("GET /discovery/hosts?follow=1&since=41 "));
     assert!(later.platform.requests()[0].starts_with("GET /bulletin "));
 
-    // Both signals together.
+    // Both signals at once: the proxy still exits successfully.
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     assert!(proxy.child.wait().unwrap().success());
--- a/crates/proxy/tests/loopback/start.rs
+++ b/crates/proxy/tests/loopback/start.rs
@@ -1,4 +1,4 @@
-//! Starting, with good and bad arguments and files.
+//! Startup with valid and invalid arguments, configurations and operators' files.
 
 use std::io::Write;
 use std::process::Command;
@@ -85,7 +85,7 @@
 #[test]
 fn proxy_serves_while_nothing_reads_its_log() {
     let (unread, mut full) = std::io::pipe().unwrap();
-    // No byte more goes into the pipe.
+    // Fill the pipe, so that the proxy's first write to the log would block.
     rustix::io::ioctl_fionbio(&full, true).unwrap();
     while full.write(&[b'x'; 4096]).is_ok() {}
     rustix::io::ioctl_fionbio(&full, false).unwrap();
--- a/crates/proxy/tests/loopback/stream.rs
+++ b/crates/proxy/tests/loopback/stream.rs
@@ -1,4 +1,4 @@
-//! Streams that are reopened, and the move from one stream to another.
+//! Reopening a stream, and replacing one stream by another.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,10 +11,11 @@
 
 use crate::common::*;
 
-/// The path that the streams of these tests request.
+/// The path that the streams request.
 const PATH: &str = "/there";
 
-/// An event loop for a stream that is tested alone. Its clock starts at zero and follows the real one.
+/// An event loop for a stream without the rest of the proxy. Its clock starts at zero and follows
+/// the system's monotonic clock.
 struct StreamFixture {
     events: calloop::EventLoop<'static, ReadyEvents>,
     ready: ReadyEvents,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Waits for events and sets the clock.
+    /// Waits for events and updates the clock.
     fn dispatch(&mut self) {
         self.events
             .dispatch(Duration::from_millis(5), &mut self.ready)
@@ -42,7 +43,7 @@
         self.context.now = Timestamp::ZERO + self.started_at.elapsed();
     }
 
-    /// Sets the clock to the next deadline and removes that.
+    /// Sets the clock to the next deadline and removes that deadline.
     fn pass_next_deadline(&mut self) {
         self.context.now = self.context.deadlines.next_at().unwrap();
         assert!(self.context.deadlines.pop_due(self.context.now).is_some());
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Delivers events and returns the lines that have been received.
+    /// Waits for events, passes them to the stream and returns the lines that it has received.
     fn receive_lines(&mut self, stream: &mut PersistentStream) -> Vec<String> {
         self.dispatch();
         for (owner, readiness) in self.ready.sockets.drain(..) {
@@ -83,7 +84,7 @@
     }
 }
 
-/// A stream that is reopened after this silence, with random backoffs of this seed.
+/// A stream that is reopened after this long a silence. The seed determines its random backoffs.
 fn reconnecting_stream(
     address: SocketAddr,
     max_silence: Duration,
@@ -97,30 +98,30 @@
     )
 }
 
-/// A response after which a stream is reopened.
+/// A response after which the stream has to be reopened.
 struct EndedStream {
     response: &'static str,
-    /// The third request comes no sooner than this.
+    /// The third request is received no earlier than this.
     min_backoff: Duration,
 }
 
 const ENDED_STREAMS: [EndedStream; 4] = [
-    // Open without a byte.
+    // Stays open without a body.
     EndedStream {
         response: CHUNKED_HEAD,
         min_backoff: Duration::from_millis(300),
     },
-    // Ends after one byte.
+    // Ends after a body of one byte.
     EndedStream {
         response: "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n",
         min_backoff: Duration::from_millis(200),
     },
-    // No HTTP response.
+    // Not an HTTP response.
     EndedStream {
         response: "nonsense\r\n\r\n",
         min_backoff: Duration::from_millis(300),
     },
-    // Rejected.
+    // Rejected with status 503.
     EndedStream {
         response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         min_backoff: Duration::from_millis(300),
@@ -144,7 +145,7 @@
             fixture.iterate_reconnecting(&mut stream);
         }
 
-        // Without a backoff a server that is down would get requests all the time.
+        // Without a backoff a failing server would be flooded with requests.
         assert!(fixture.started_at.elapsed() >= min_backoff, "{response}");
     }
 }
@@ -183,7 +184,7 @@
     }
 
     assert_eq!(lines.iter().filter(|line| *line == "new").count(), 1);
-    // Only the replacement remains, with its deadline and that of the next replacement.
+    // Only the replacement remains. Its deadline and that of the next replacement are scheduled.
     let deadlines = &mut fixture.context.deadlines;
     let owners: Vec<_> = std::iter::from_fn(|| deadlines.pop_due(Timestamp::MAX)).collect();
     let expected = [SlotKey::new(1), SlotKey::new(u64::MAX)]
@@ -191,7 +192,7 @@
     assert_eq!(owners, expected);
 }
 
-/// When an instance with this seed reconnects after each of ten silences.
+/// The times at which a stream with this seed reconnects after each of ten silences.
 fn reconnect_times(seed: u64) -> Vec<Timestamp> {
     let server = ManualServer::new();
     let mut fixture = StreamFixture::new();
@@ -199,7 +200,7 @@
     let mut times = Vec::new();
     for _ in 0..10 {
         stream.open(PATH, &mut fixture.context);
-        // Nothing is received: the stream ends after its silence, and then its backoff runs.
+        // Nothing is received: the stream ends at the silence timeout, then its backoff passes.
         fixture.pass_next_deadline();
         assert!(!stream.on_deadline(&mut fixture.context));
         fixture.pass_next_deadline();
--- a/crates/proxy/tests/loopback/upstream.rs
+++ b/crates/proxy/tests/loopback/upstream.rs
@@ -1,4 +1,4 @@
-//! Endpoints: what their responses become for clients, and the reuse of their connections.
+//! Endpoint responses, their translation for clients, and the reuse of endpoint connections.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -7,10 +7,10 @@
 
 use crate::common::*;
 
-/// What the only endpoint does first; then it answers.
+/// What the only endpoint does with its first query; it answers all later ones.
 type FirstAction = fn() -> EndpointAction;
 
-/// The client's response.
+/// The response that the client receives.
 #[derive(Clone, Copy)]
 enum Outcome {
     /// The row of a retry or of the first attempt.
@@ -19,7 +19,7 @@
     Error(&'static str),
 }
 
-/// The client's responses for a route whose requests are idempotent and for one whose requests are not.
+/// The client's responses on a route with idempotent requests and on one without.
 #[derive(Clone, Copy)]
 struct Outcomes {
     idempotent: Outcome,
@@ -44,7 +44,7 @@
     not_idempotent: Outcome::Error("42601"),
 };
 
-/// First actions, and the client's responses.
+/// The endpoint's first actions, with the client's responses.
 const FIRST_ACTIONS: [(FirstAction, Outcomes); 15] = [
     (EndpointAction::row, SUCCESS),
     (|| EndpointAction::Error("53300"), SUCCESS),
@@ -52,7 +52,7 @@
     (|| EndpointAction::Close, FAILURE),
     (|| EndpointAction::Bytes(b"D\0\0\0\x03"), FAILURE),
     (|| EndpointAction::Bytes(b"C\0\0\0\x0dSELECT 0\0"), FAILURE),
-    // Noise, a value whose length is gigabytes, messages out of order or malformed.
+    // Random bytes, a message length of gigabytes, and messages that are out of order or malformed.
     (|| EndpointAction::Bytes(b"\xf7\x03noise"), FAILURE),
     (|| EndpointAction::Bytes(b"D\xb2\xd0\x5e\0\0\x01"), FAILURE),
     (
@@ -63,7 +63,7 @@
     (|| EndpointAction::Bytes(b"E\0\0\0\x08XX00"), FAILURE),
     (|| EndpointAction::Bytes(b""), FAILURE),
     (|| EndpointAction::Error("42601"), INVALID_REQUEST),
-    // Bytes that follow a row leave it valid, and are not part of the next response.
+    // Invalid bytes after a row do not make it invalid, and are not part of the next response.
     (
         || EndpointAction::RowWithReport {
             report: b"vitals\0inflight=\xff\xfe\0",
@@ -103,13 +103,13 @@
     }
 }
 
-/// An idle connection may be used again after this time.
+/// The time after which an idle connection may be reused.
 const REUSE_DELAY: Duration = Duration::from_millis(25);
 
 /// An endpoint that closes each connection at its third query.
 struct ClosingEndpoint {
     address: SocketAddr,
-    /// The queries received over each connection.
+    /// The events of each connection.
     connections: Arc<Mutex<Vec<EventLog>>>,
 }
 
@@ -139,13 +139,13 @@
         }
     }
 
-    /// The events of each connection.
+    /// The events of each connection so far.
     fn events(&self) -> Vec<Vec<EndpointEvent>> {
         let connections = self.connections.lock().unwrap();
         connections.iter().map(EventLog::all).collect()
     }
 
-    /// A connection was closed at a query of the route `look`.
+    /// Whether a connection was closed at a query of the route `look`.
     fn has_closed_at_look(&self) -> bool {
         self.events().iter().any(|events| {
             let third = events.get(2);
@@ -157,8 +157,8 @@
 #[test]
 fn non_idempotent_request_uses_no_reused_connection_after_one_was_closed_by_its_endpoint() {
     let endpoint = ClosingEndpoint::start();
-    // No hedge and no time limit ends an attempt: where its connection is closed, the response comes after the proxy
-    // has observed that and retried.
+    // Neither a hedge nor a time limit ends an attempt. If its connection is closed, the client's
+    // response therefore shows that the proxy has observed that and retried.
     let config = ProxyConfig::new()
         .endpoint(endpoint.address)
         .without_hedging()
@@ -166,7 +166,8 @@
     let proxy = start_proxy(&config);
     let mut client = Client::admitted(proxy.address);
 
-    // Retries answer the client, and the proxy learns that reused connections are closed.
+    // The proxy learns from a closed connection that this endpoint closes reused ones. The client
+    // is answered by a retry.
     let started_at = Instant::now();
     for id in 0.. {
         let response = client.request(&query("look", id, 8000));
