--- a/crates/proxy/tests/loopback/upstream.rs
+++ b/crates/proxy/tests/loopback/upstream.rs
@@ -63,7 +63,8 @@
     (|| EndpointAction::Bytes(b"E\0\0\0\x08XX00"), FAILURE),
     (|| EndpointAction::Bytes(b""), FAILURE),
     (|| EndpointAction::Error("42601"), INVALID_REQUEST),
-    // Invalid bytes after a row do not make it invalid, and are not part of the next response.
+    // An invalid load report or invalid bytes after a row leave the row valid, and are not part of
+    // the next response.
     (
         || EndpointAction::RowWithReport {
             report: b"vitals\0inflight=\xff\xfe\0",
