--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -10,7 +10,7 @@
 use tidescale_settings::parse_number;
 
 use crate::batch::{Batch, EventLine};
-use crate::endpoint_list::{EndpointRows, announced_list_number};
+use crate::endpoint_list::{EndpointRows, referenced_list_number};
 use crate::error::AdapterError;
 use crate::fields::{fields, message_name};
 use crate::instance::Instance;
@@ -43,8 +43,8 @@
             if line.is_empty() {
                 continue;
             }
-            let mut batch = Batch::begin(&line)?;
-            self.read_batch(&mut batch)?;
+            let mut batch = Batch::parse_header(&line)?;
+            self.read_batch_lines(&mut batch)?;
             let reply = self.step_instances(&batch)?;
             self.write_reply(&reply)?;
         }
@@ -66,10 +66,12 @@
     }
 
     /// Reads a batch up to its last line.
-    fn read_batch(&mut self, batch: &mut Batch) -> Result<(), AdapterError> {
+    fn read_batch_lines(&mut self, batch: &mut Batch) -> Result<(), AdapterError> {
         let mut instance = None;
         loop {
-            let line = self.read_line()?.ok_or(AdapterError::EndInsideBatch)?;
+            let line = self
+                .read_line()?
+                .ok_or(AdapterError::UnexpectedEndOfInput)?;
             match message_name(&line) {
                 "OVER_TO_YOU" => return Ok(()),
                 "AT" => {
@@ -81,7 +83,7 @@
                     let Some(instance) = instance else {
                         return Err(AdapterError::EventWithoutInstance { line });
                     };
-                    self.take_event(instance, line, batch)?;
+                    self.handle_event_line(instance, line, batch)?;
                 }
             }
         }
@@ -96,7 +98,7 @@
         for _ in 0..row_count {
             let row = self.read_line()?.unwrap_or_default();
             if !row.starts_with("ROW ") {
-                return Err(AdapterError::ListTooShort { line: row });
+                return Err(AdapterError::MissingEndpointRow { line: row });
             }
             rows.push(row);
         }
@@ -105,7 +107,7 @@
     }
 
     /// Starts or stops an instance, or keeps its event for the step.
-    fn take_event(
+    fn handle_event_line(
         &mut self,
         instance: InstanceNumber,
         line: String,
@@ -115,14 +117,14 @@
             "SPAWN" => {
                 let spawned = Instance::spawn(&line, batch.now)?;
                 self.instances.insert(instance, spawned);
-                batch.clear(instance);
+                batch.clear_events(instance);
             }
             "DOWN" => {
                 self.instances.remove(&instance);
-                batch.clear(instance);
+                batch.clear_events(instance);
             }
             "ROSTER_CHANGE" => {
-                let list_number = announced_list_number(&line);
+                let list_number = referenced_list_number(&line);
                 let endpoint_rows = list_number
                     .and_then(|list_number| self.endpoint_lists.get(&list_number))
                     .cloned();
@@ -130,14 +132,14 @@
                     line,
                     endpoint_rows,
                 };
-                batch.push(instance, event_line);
+                batch.push_event(instance, event_line);
             }
             _ => {
                 let event_line = EventLine {
                     line,
                     endpoint_rows: None,
                 };
-                batch.push(instance, event_line);
+                batch.push_event(instance, event_line);
             }
         }
         Ok(())
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -32,11 +32,11 @@
 
 impl Batch {
     /// An empty batch with the clock and number of its first line, `MARK <milliseconds> <number>`.
-    pub fn begin(line: &str) -> Result<Self, AdapterError> {
+    pub fn parse_header(line: &str) -> Result<Self, AdapterError> {
         let [clock, number] = match fields(line) {
             Ok(values) if line.starts_with("MARK ") => values,
             _ => {
-                return Err(AdapterError::BatchWithoutClock {
+                return Err(AdapterError::MissingBatchHeader {
                     line: line.to_string(),
                 });
             }
@@ -49,13 +49,13 @@
     }
 
     /// Adds an event for an instance.
-    pub fn push(&mut self, instance: InstanceNumber, event_line: EventLine) {
+    pub fn push_event(&mut self, instance: InstanceNumber, event_line: EventLine) {
         self.events.entry(instance).or_default().push(event_line);
     }
 
     /// Drops the events that were read for an instance before it started or stopped. The batch
     /// still names the instance.
-    pub fn clear(&mut self, instance: InstanceNumber) {
+    pub fn clear_events(&mut self, instance: InstanceNumber) {
         self.events.entry(instance).or_default().clear();
     }
 }
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 use tidescale_settings::{parse_duration, parse_number};
 
 use crate::error::AdapterError;
-use crate::fields::{fields, optional};
+use crate::fields::{fields, optional_field};
 use crate::numbers::ListNumber;
 
 /// The `ROW` lines of one `INVENTORY`, shared by the events that refer to it.
@@ -41,13 +41,13 @@
 }
 
 /// Number of the list that a `ROSTER_CHANGE` refers to; `None` if its line has no valid number.
-pub fn announced_list_number(line: &str) -> Option<ListNumber> {
+pub fn referenced_list_number(line: &str) -> Option<ListNumber> {
     let list_number = line.split(' ').nth(3)?;
     ListNumber::parse(list_number).ok()
 }
 
 fn parse_entries(rows: Option<&EndpointRows>) -> Result<Vec<EndpointEntry<'_>>, AdapterError> {
-    let rows = rows.ok_or(AdapterError::ListNeverGiven)?;
+    let rows = rows.ok_or(AdapterError::UnknownEndpointList)?;
     rows.iter().map(|row| parse_entry(row)).collect()
 }
 
@@ -62,12 +62,12 @@
         weight,
         started_at,
     ] = fields(row)?;
-    if let Some(weight) = optional(weight) {
+    if let Some(weight) = optional_field(weight) {
         parse_number::<f64>(weight)?;
     }
     let state = parse_state(state, row)?;
     let started_at = parse_started_at(started_at)?;
-    let cell = optional(cell).map_or(Ok(0), parse_number)?;
+    let cell = optional_field(cell).map_or(Ok(0), parse_number)?;
     Ok(EndpointEntry {
         name,
         zone,
@@ -93,7 +93,7 @@
 /// `None` also for an endpoint that started at 0: it was already running when the bench's clock
 /// started.
 fn parse_started_at(text: &str) -> Result<Option<Timestamp>, AdapterError> {
-    let Some(text) = optional(text) else {
+    let Some(text) = optional_field(text) else {
         return Ok(None);
     };
     let started_at = Timestamp::ZERO + parse_duration(text)?;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -26,13 +26,13 @@
 
     /// A batch does not start with `MARK`.
     #[error("a batch must start with its clock: {line}")]
-    BatchWithoutClock {
+    MissingBatchHeader {
         /// The line that was read instead.
         line: String,
     },
     /// The input ended before `OVER_TO_YOU`.
     #[error("input ended inside a batch")]
-    EndInsideBatch,
+    UnexpectedEndOfInput,
     /// An event before the batch's first `AT`.
     #[error("an event before any instance was named: {line}")]
     EventWithoutInstance {
@@ -41,7 +41,7 @@
     },
     /// Fewer `ROW` lines than `INVENTORY` announced.
     #[error("a list is shorter than told: {line}")]
-    ListTooShort {
+    MissingEndpointRow {
         /// The line that was read instead of the missing row; empty at the end of input.
         line: String,
     },
@@ -67,13 +67,13 @@
 
     /// `SPAWN` without a seed.
     #[error("a start without a seed")]
-    SpawnWithoutSeed,
+    MissingSeed,
     /// `SPAWN` without settings.
     #[error("a start without settings")]
-    SpawnWithoutSettings,
+    MissingSettings,
     /// A setting of `SPAWN` does not have the form `PATH=TEXT`.
     #[error("not a setting: {text}")]
-    NotASetting {
+    MalformedSetting {
         /// The text.
         text: String,
     },
@@ -98,7 +98,7 @@
     },
     /// A load report is not a list of `NAME:VALUE`.
     #[error("not a load report: {text}")]
-    NotALoadReport {
+    MalformedLoadReport {
         /// The text.
         text: String,
     },
@@ -122,7 +122,7 @@
     },
     /// A list was announced without an earlier `INVENTORY`.
     #[error("a list that was never given")]
-    ListNeverGiven,
+    UnknownEndpointList,
     /// An unknown state of an endpoint.
     #[error("unknown readiness: {row}")]
     UnknownEndpointState {
--- a/crates/simulator-adapter/src/event/requests.rs
+++ b/crates/simulator-adapter/src/event/requests.rs
@@ -7,7 +7,7 @@
 
 use super::Event;
 use crate::error::AdapterError;
-use crate::fields::{fields, optional, parse_load_report, parse_outcome};
+use crate::fields::{fields, optional_field, parse_load_report, parse_outcome};
 use crate::route_names::RouteNames;
 
 /// Parses `ASK <request> <route> <team> <key> <milliseconds remaining> <cost> <repeat> <update>`.
@@ -25,12 +25,12 @@
         is_repeat,
         is_update,
     ] = fields(line)?;
-    let cost_hint = optional(cost_hint).map(parse_number).transpose()?;
+    let cost_hint = optional_field(cost_hint).map(parse_number).transpose()?;
     parse_flag(is_repeat)?;
     parse_flag(is_update)?;
     let request = IncomingRequest {
-        route: routes.find(route)?,
-        idempotency_key: optional(idempotency_key),
+        route: routes.index_of(route)?,
+        idempotency_key: optional_field(idempotency_key),
         time_remaining: parse_duration(time_remaining)?,
         cost_hint,
     };
@@ -51,7 +51,7 @@
         request_finished,
         load,
     ] = fields(line)?;
-    let duration = optional(duration).map_or(Ok(Duration::ZERO), parse_duration)?;
+    let duration = optional_field(duration).map_or(Ok(Duration::ZERO), parse_duration)?;
     let result = AttemptResult {
         outcome: parse_outcome(outcome)?,
         duration,
@@ -97,7 +97,7 @@
     routes: &RouteNames,
 ) -> Result<Event<'a>, AdapterError> {
     let [endpoint, route, age] = fields(line)?;
-    routes.find(route)?;
+    routes.index_of(route)?;
     Ok(Event::AnswerFlagged {
         endpoint,
         age: parse_duration(age)?,
--- a/crates/simulator-adapter/src/event/rollout.rs
+++ b/crates/simulator-adapter/src/event/rollout.rs
@@ -5,7 +5,7 @@
 
 use super::Event;
 use crate::error::AdapterError;
-use crate::fields::{fields, optional};
+use crate::fields::{fields, optional_field};
 use crate::route_names::RouteNames;
 
 /// Reason of a `PHASE_TOLD` that is the response to a vote.
@@ -44,11 +44,11 @@
     routes: &RouteNames,
 ) -> Result<Event<'a>, AdapterError> {
     let [route, duration, age, outcomes, lost, build] = fields(line)?;
-    if let Some(duration) = optional(duration) {
+    if let Some(duration) = optional_field(duration) {
         parse_duration(duration)?;
     }
     parse_duration(age)?;
-    routes.find(route)?;
+    routes.index_of(route)?;
     parse_build(build)?;
     parse_number::<f64>(outcomes)?;
     parse_number::<f64>(lost)?;
--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -9,16 +9,16 @@
 use crate::route_names::RouteNames;
 
 /// Parses and delivers lines in order, up to the first that cannot be parsed.
-pub struct LineEvents<'a> {
+pub struct LineEventSource<'a> {
     event_lines: &'a [EventLine],
     routes: &'a RouteNames,
     error: Option<AdapterError>,
 }
 
-impl<'a> LineEvents<'a> {
+impl<'a> LineEventSource<'a> {
     /// Events for an instance with these routes.
     pub fn new(event_lines: &'a [EventLine], routes: &'a RouteNames) -> Self {
-        LineEvents {
+        LineEventSource {
             event_lines,
             routes,
             error: None,
@@ -26,14 +26,14 @@
     }
 
     /// To be called after delivery. Returns the error if delivery stopped before the last line.
-    pub fn finish(self) -> Result<(), AdapterError> {
+    pub fn into_result(self) -> Result<(), AdapterError> {
         match self.error {
             Some(error) => Err(error),
             None => Ok(()),
         }
     }
 
-    fn deliver_all(&self, policy: &mut Balancer) -> Result<(), AdapterError> {
+    fn parse_and_deliver(&self, policy: &mut Balancer) -> Result<(), AdapterError> {
         for event_line in self.event_lines {
             let event = Event::parse(event_line, self.routes)?;
             deliver_event(event, policy);
@@ -42,9 +42,9 @@
     }
 }
 
-impl EventSource for LineEvents<'_> {
+impl EventSource for LineEventSource<'_> {
     fn deliver(&mut self, policy: &mut Balancer) {
-        self.error = self.deliver_all(policy).err();
+        self.error = self.parse_and_deliver(policy).err();
     }
 }
 
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -31,7 +31,7 @@
 }
 
 /// The field's text; `None` for a field without a value.
-pub fn optional(text: &str) -> Option<&str> {
+pub fn optional_field(text: &str) -> Option<&str> {
     (text != "-").then_some(text)
 }
 
@@ -55,13 +55,13 @@
 /// Parses an endpoint's load report, `NAME:VALUE,NAME:VALUE…`. Values that the policy does not use
 /// are only checked.
 pub fn parse_load_report(text: &str) -> Result<Option<LoadReport>, AdapterError> {
-    let Some(text) = optional(text) else {
+    let Some(text) = optional_field(text) else {
         return Ok(None);
     };
     let mut report = LoadReport::default();
     for pair in text.split(',') {
         let Some((name, value)) = pair.split_once(':') else {
-            return Err(AdapterError::NotALoadReport {
+            return Err(AdapterError::MalformedLoadReport {
                 text: text.to_string(),
             });
         };
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -7,7 +7,7 @@
 use crate::batch::EventLine;
 use crate::decision_writer::DecisionWriter;
 use crate::error::AdapterError;
-use crate::event_source::LineEvents;
+use crate::event_source::LineEventSource;
 use crate::route_names::RouteNames;
 
 /// A running instance.
@@ -20,14 +20,14 @@
     /// Starts an instance by its line, `SPAWN <seed> <settings>`.
     pub fn spawn(line: &str, now: Timestamp) -> Result<Self, AdapterError> {
         let mut parts = line.splitn(3, ' ').skip(1);
-        let seed = parts.next().ok_or(AdapterError::SpawnWithoutSeed)?;
+        let seed = parts.next().ok_or(AdapterError::MissingSeed)?;
         let seed = parse_number(seed)?;
-        let settings = parts.next().ok_or(AdapterError::SpawnWithoutSettings)?;
+        let settings = parts.next().ok_or(AdapterError::MissingSettings)?;
         let raw = parse_raw_settings(settings)?;
         check_answer_slack(&raw)?;
         let settings = decode(&raw)?;
         Ok(Instance {
-            routes: RouteNames::of(&settings),
+            routes: RouteNames::from_settings(&settings),
             policy: Balancer::new(settings, seed, now),
         })
     }
@@ -39,10 +39,10 @@
         event_lines: &[EventLine],
         reply: &mut String,
     ) -> Result<(), AdapterError> {
-        let mut events = LineEvents::new(event_lines, &self.routes);
+        let mut events = LineEventSource::new(event_lines, &self.routes);
         let mut decisions = DecisionWriter::new(reply);
         self.policy.step(now, &mut events, &mut decisions);
-        events.finish()
+        events.into_result()
     }
 }
 
@@ -52,7 +52,7 @@
         .filter(|setting| !setting.is_empty())
         .map(|setting| match setting.split_once('=') {
             Some((path, value)) => Ok((path.to_string(), value.to_string())),
-            None => Err(AdapterError::NotASetting {
+            None => Err(AdapterError::MalformedSetting {
                 text: setting.to_string(),
             }),
         })
--- a/crates/simulator-adapter/src/route_names.rs
+++ b/crates/simulator-adapter/src/route_names.rs
@@ -10,13 +10,13 @@
 
 impl RouteNames {
     /// The names in the settings of an instance.
-    pub fn of(settings: &Settings) -> Self {
+    pub fn from_settings(settings: &Settings) -> Self {
         let names = settings.routes.iter().map(|route| route.name.clone());
         RouteNames(names.collect())
     }
 
     /// The route of this name.
-    pub fn find(&self, name: &str) -> Result<RouteIndex, AdapterError> {
+    pub fn index_of(&self, name: &str) -> Result<RouteIndex, AdapterError> {
         self.0
             .iter()
             .position(|route_name| route_name == name)
