--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,8 @@
-//! The loop over batches: reads one, steps every instance that it names, and writes the reply.
+//! The main loop: reads a batch, steps every running instance that it names, and writes the reply.
 //!
-//! Starts and stops of instances and endpoint lists take effect when their lines are read; events
-//! are kept until the batch is complete. A reply is written only if the whole batch was parsed.
+//! Lines that start or stop an instance and endpoint lists take effect as soon as they are read;
+//! events are buffered until the batch is complete. No reply is written to a batch that cannot be
+//! parsed completely.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -16,18 +17,18 @@
 use crate::instance::Instance;
 use crate::numbers::{InstanceNumber, ListNumber};
 
-/// All instances of the bench, with the streams from and to it.
+/// The simulator's instances, and the streams from and to the simulator.
 pub struct Adapter<R, W> {
     input: R,
     output: W,
     /// Running instances.
     instances: BTreeMap<InstanceNumber, Instance>,
-    /// The latest endpoint list of each number.
+    /// The latest endpoint list with each number.
     endpoint_lists: BTreeMap<ListNumber, EndpointRows>,
 }
 
 impl<R: BufRead, W: Write> Adapter<R, W> {
-    /// An adapter without instances.
+    /// Creates an adapter without instances.
     pub fn new(input: R, output: W) -> Self {
         Adapter {
             input,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Handles batch after batch, until the input ends between two of them.
+    /// Handles batches until the input ends after a complete batch.
     pub fn run(&mut self) -> Result<(), AdapterError> {
         while let Some(line) = self.read_line()? {
             if line.is_empty() {
@@ -51,7 +52,7 @@
         Ok(())
     }
 
-    /// The next line without its line end; `None` at the end of input.
+    /// Reads the next line, without its line terminator; `None` at the end of the input.
     fn read_line(&mut self) -> Result<Option<String>, AdapterError> {
         let mut line = String::new();
         let length = self
@@ -65,7 +66,7 @@
         Ok(Some(line))
     }
 
-    /// Reads a batch up to its last line.
+    /// Reads the lines of a batch up to `OVER_TO_YOU`.
     fn read_batch_lines(&mut self, batch: &mut Batch) -> Result<(), AdapterError> {
         let mut instance = None;
         loop {
@@ -106,7 +107,7 @@
         Ok(())
     }
 
-    /// Starts or stops an instance, or keeps its event for the step.
+    /// Starts or stops an instance, or buffers its event for the step.
     fn handle_event_line(
         &mut self,
         instance: InstanceNumber,
@@ -145,8 +146,8 @@
         Ok(())
     }
 
-    /// Steps the instances that the batch names, in the order of their numbers. Events for an
-    /// instance that does not run are ignored and not parsed.
+    /// Steps the instances that the batch names, in the order of their numbers, and returns the
+    /// reply. Events for an instance that is not running are ignored without being parsed.
     fn step_instances(&mut self, batch: &Batch) -> Result<String, AdapterError> {
         let mut reply = String::new();
         for (number, event_lines) in &batch.events {
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! The events of one batch, sorted by instance.
+//! The events of one batch, grouped by instance.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,29 @@
 use crate::fields::fields;
 use crate::numbers::{BatchNumber, InstanceNumber};
 
-/// An event that is not parsed yet.
+/// An event that has not been parsed yet.
 pub struct EventLine {
     /// The whole line.
     pub line: String,
-    /// The rows that a `ROSTER_CHANGE` refers to. They are looked up when its line is read, because
-    /// the list's number may be reused later in the batch.
+    /// The rows that a `ROSTER_CHANGE` refers to; `None` for other events and unknown lists. They
+    /// are looked up when the line is read, because the list number may be reused later in the
+    /// batch.
     pub endpoint_rows: Option<EndpointRows>,
 }
 
-/// The lines of a batch that were read so far.
+/// The part of a batch that has been read so far.
 pub struct Batch {
-    /// The bench's clock.
+    /// Time on the simulator's clock.
     pub now: Timestamp,
-    /// Identifies the batch in its acknowledgement.
+    /// Number that the acknowledgement repeats.
     pub number: BatchNumber,
-    /// Events by instance. An instance that was started in this batch has an entry even without
-    /// events.
+    /// Events by instance. An instance that was started in this batch has an entry even if it has
+    /// no events, so that it is stepped.
     pub events: BTreeMap<InstanceNumber, Vec<EventLine>>,
 }
 
 impl Batch {
-    /// An empty batch with the clock and number of its first line, `MARK <milliseconds> <number>`.
+    /// Creates an empty batch from its first line, `MARK <milliseconds> <batch number>`.
     pub fn parse_header(line: &str) -> Result<Self, AdapterError> {
         let [clock, number] = match fields(line) {
             Ok(values) if line.starts_with("MARK ") => values,
@@ -48,13 +49,13 @@
         })
     }
 
-    /// Adds an event for an instance.
+    /// Appends an event to those of an instance.
     pub fn push_event(&mut self, instance: InstanceNumber, event_line: EventLine) {
         self.events.entry(instance).or_default().push(event_line);
     }
 
-    /// Drops the events that were read for an instance before it started or stopped. The batch
-    /// still names the instance.
+    /// Discards the events that were read for an instance before it started or stopped. Its entry
+    /// stays, so that an instance that has started is stepped.
     pub fn clear_events(&mut self, instance: InstanceNumber) {
         self.events.entry(instance).or_default().clear();
     }
--- a/crates/simulator-adapter/src/decision_writer.rs
+++ b/crates/simulator-adapter/src/decision_writer.rs
@@ -14,7 +14,7 @@
 }
 
 impl<'a> DecisionWriter<'a> {
-    /// Appends to this reply.
+    /// Creates a writer that appends to this reply.
     pub fn new(reply: &'a mut String) -> Self {
         DecisionWriter { reply }
     }
@@ -28,8 +28,8 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Milliseconds, with decimals for whole microseconds. Fractions of a microsecond are cut off, so
-/// that a duration is not rounded up beyond a limit.
+/// Converts a duration to milliseconds, truncated to whole microseconds, so that it is not rounded
+/// up beyond a limit.
 fn milliseconds(duration: Duration) -> f64 {
     fractional_micros(duration) / MICROS_PER_MS
 }
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Parses endpoint lists: a `ROSTER_CHANGE` and the rows of the `INVENTORY` that it refers to.
+//! Parses endpoint lists: a `ROSTER_CHANGE` line and the rows of the `INVENTORY` that it names.
 
 use std::rc::Rc;
 
@@ -9,21 +9,21 @@
 use crate::fields::{fields, optional_field};
 use crate::numbers::ListNumber;
 
-/// The `ROW` lines of one `INVENTORY`, shared by the events that refer to it.
+/// The `ROW` lines of one `INVENTORY`, shared by the events that refer to the list.
 pub type EndpointRows = Rc<Vec<String>>;
 
-/// The content of a `ROSTER_CHANGE`; names borrow from the rows.
+/// The content of a `ROSTER_CHANGE`. Names are borrowed from the rows.
 pub enum EndpointListUpdate<'a> {
-    /// The whole list: an endpoint that it does not name is removed.
+    /// The complete list; endpoints that it does not contain are removed.
     Complete(Vec<EndpointEntry<'a>>),
-    /// The endpoints that have changed.
+    /// Only the endpoints that have changed.
     Changes(Vec<EndpointEntry<'a>>),
-    /// Polling the list has failed.
+    /// Polling the endpoint list has failed.
     Failed,
 }
 
-/// Parses `ROSTER_CHANGE <kind> <revision> <list number>` with the rows of that list, if there is
-/// one.
+/// Parses `ROSTER_CHANGE <kind> <revision> <list number>`. `rows` are the rows of the list with
+/// this number; `None` if there is no such list.
 pub fn parse_endpoint_list<'a>(
     line: &str,
     rows: Option<&'a EndpointRows>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Number of the list that a `ROSTER_CHANGE` refers to; `None` if its line has no valid number.
+/// Number of the list that a `ROSTER_CHANGE` line refers to; `None` without a valid number.
 pub fn referenced_list_number(line: &str) -> Option<ListNumber> {
     let list_number = line.split(' ').nth(3)?;
     ListNumber::parse(list_number).ok()
@@ -90,8 +90,8 @@
     }
 }
 
-/// `None` also for an endpoint that started at 0: it was already running when the bench's clock
-/// started.
+/// Parses the start time of an endpoint. `None` if the field has no value or is 0: an endpoint with
+/// start time 0 was already running when the simulator's clock started.
 fn parse_started_at(text: &str) -> Result<Option<Timestamp>, AdapterError> {
     let Some(text) = optional_field(text) else {
         return Ok(None);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the adapter.
+//! Errors that terminate the adapter.
 
 use std::io;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use tidescale_policy::types::whole_micros;
 use tidescale_settings::{SettingsError, ValueError};
 
-/// Input that cannot be parsed, or a stream that failed. The message is part of the reply to the
-/// bench, so the texts must not change.
+/// Input that cannot be parsed, or an I/O error on stdin or stdout. The message is sent to the
+/// simulator after `INTERNAL_ERROR`, so the texts must not change.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Stdin cannot be read, or is not valid UTF-8.
@@ -17,58 +17,58 @@
     /// Stdout cannot be written.
     #[error("cannot write: {0}")]
     Write(#[source] io::Error),
-    /// A value of a line is not of the expected type.
+    /// A field of a line, or a value of a load report, is not of the expected type.
     #[error(transparent)]
     Value(#[from] ValueError),
-    /// An instance was started with unusable settings.
+    /// An instance was started with a setting that is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 
-    /// A batch does not start with `MARK`.
+    /// A batch does not start with a well-formed `MARK` line.
     #[error("a batch must start with its clock: {line}")]
     MissingBatchHeader {
         /// The line that was read instead.
         line: String,
     },
-    /// The input ended before `OVER_TO_YOU`.
+    /// The input ended inside a batch, before `OVER_TO_YOU`.
     #[error("input ended inside a batch")]
     UnexpectedEndOfInput,
-    /// An event before the batch's first `AT`.
+    /// An event precedes the first `AT` of its batch.
     #[error("an event before any instance was named: {line}")]
     EventWithoutInstance {
         /// The event's line.
         line: String,
     },
-    /// Fewer `ROW` lines than `INVENTORY` announced.
+    /// There are fewer `ROW` lines than the `INVENTORY` line announced.
     #[error("a list is shorter than told: {line}")]
     MissingEndpointRow {
-        /// The line that was read instead of the missing row; empty at the end of input.
+        /// The line that was read instead of the missing row; empty at the end of the input.
         line: String,
     },
 
-    /// A line has fewer values than its message needs.
+    /// A line has fewer fields than its message requires.
     #[error("too few values: {line}")]
     TooFewValues {
         /// The line.
         line: String,
     },
-    /// A line has more values than its message needs.
+    /// A line has more fields than its message allows.
     #[error("too many values: {line}")]
     TooManyValues {
         /// The line.
         line: String,
     },
-    /// A line with an unknown message name.
+    /// A line starts with an unknown message name.
     #[error("unknown message: {line}")]
     UnknownMessage {
         /// The line.
         line: String,
     },
 
-    /// `SPAWN` without a seed.
+    /// `SPAWN` has no seed.
     #[error("a start without a seed")]
     MissingSeed,
-    /// `SPAWN` without settings.
+    /// `SPAWN` has no settings.
     #[error("a start without settings")]
     MissingSettings,
     /// A setting of `SPAWN` does not have the form `PATH=TEXT`.
@@ -77,20 +77,21 @@
         /// The text.
         text: String,
     },
-    /// The policy could not answer in time, even if it were stepped at each tick.
+    /// The answer slack is shorter than a tick: the policy could not respond in time even if it
+    /// were stepped at each tick.
     #[error("rules.answer_slack: {} us are less than a tick", whole_micros(*slack))]
     AnswerSlackBelowTick {
-        /// The setting.
+        /// Value of `rules.answer_slack`.
         slack: Duration,
     },
 
-    /// A route that is not in the instance's settings.
+    /// A route is not in the instance's settings.
     #[error("unknown class: {name}")]
     UnknownRoute {
-        /// The name.
+        /// Name of the route.
         name: String,
     },
-    /// An unknown outcome of an attempt or a health check.
+    /// The outcome of an attempt or a health check is unknown.
     #[error("unknown outcome: {text}")]
     UnknownOutcome {
         /// The text.
@@ -102,31 +103,31 @@
         /// The text.
         text: String,
     },
-    /// An unknown result of a vote.
+    /// The result of a vote is unknown.
     #[error("unknown answer to a vote: {text}")]
     UnknownVoteResult {
         /// The text.
         text: String,
     },
-    /// An unknown phase of a rollout.
+    /// The phase of a rollout is unknown.
     #[error("unknown course: {text}")]
     UnknownRolloutPhase {
         /// The text.
         text: String,
     },
-    /// An unknown kind of an endpoint list.
+    /// The kind of an endpoint list is unknown.
     #[error("unknown kind of list: {text}")]
     UnknownListKind {
         /// The text.
         text: String,
     },
-    /// A list was announced without an earlier `INVENTORY`.
+    /// A `ROSTER_CHANGE` refers to a list for which no `INVENTORY` was read.
     #[error("a list that was never given")]
     UnknownEndpointList,
-    /// An unknown state of an endpoint.
+    /// The state of an endpoint is unknown.
     #[error("unknown readiness: {row}")]
     UnknownEndpointState {
-        /// The endpoint's row.
+        /// The endpoint's `ROW` line.
         row: String,
     },
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The events of one instance: an [`Event`] for each message of the bench.
+//! The events of one instance: each message from the simulator is parsed to an [`Event`].
 
 mod requests;
 mod rollout;
@@ -17,7 +17,7 @@
 use crate::fields::{fields, message_name};
 use crate::route_names::RouteNames;
 
-/// One event for the policy; names borrow from the lines.
+/// One event for the policy. Names are borrowed from the lines.
 pub enum Event<'a> {
     /// A client sent a request (`ASK`).
     Request {
@@ -29,7 +29,7 @@
         attempt: AttemptId,
         result: AttemptResult,
     },
-    /// A client no longer waits for its request (`WITHDRAWN`).
+    /// A client no longer waits for the response to its request (`WITHDRAWN`).
     ClientDisconnected { request_id: RequestId },
     /// The first bytes of a response arrived (`OPENED`).
     ResponseStarted { attempt: AttemptId },
@@ -39,13 +39,13 @@
         outcome: AttemptOutcome,
         load: Option<LoadReport>,
     },
-    /// A client found an earlier answer of the endpoint to be wrong (`CONTESTED`).
+    /// A client reported an earlier response of the endpoint as wrong (`CONTESTED`).
     AnswerFlagged { endpoint: &'a str, age: Duration },
     /// A rollout status, the result of this instance's vote, or both (`PHASE_TOLD`).
     Rollout {
-        /// `None` if the message is not the response to a vote.
+        /// `None` if the message is not a response to a vote.
         vote_result: Option<VoteResult>,
-        /// `None` unless the platform's result is `done`.
+        /// `None` unless the result in the message is `done`.
         status: Option<RolloutStatus>,
     },
     /// The endpoint list has changed, or polling it has failed (`ROSTER_CHANGE`).
@@ -55,7 +55,7 @@
 }
 
 impl<'a> Event<'a> {
-    /// Parses an event's line for an instance with these routes.
+    /// Parses the line of an event for an instance with these routes.
     pub fn parse(event_line: &'a EventLine, routes: &RouteNames) -> Result<Self, AdapterError> {
         let line = event_line.line.as_str();
         match message_name(line) {
@@ -80,12 +80,14 @@
     }
 }
 
+/// Validates `WAKEUP <token>`.
 fn check_wake_up(line: &str) -> Result<Event<'_>, AdapterError> {
     let [token] = fields(line)?;
     parse_number::<u64>(token)?;
     Ok(Event::Unused)
 }
 
+/// Validates `MESSAGE <sender> <body>`.
 fn check_message(line: &str) -> Result<Event<'_>, AdapterError> {
     let [_sender, _body] = fields(line)?;
     Ok(Event::Unused)
--- a/crates/simulator-adapter/src/event/requests.rs
+++ b/crates/simulator-adapter/src/event/requests.rs
@@ -1,4 +1,4 @@
-//! Events of requests, attempts and health checks.
+//! Parses events about requests, attempts and health checks.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use crate::fields::{fields, optional_field, parse_load_report, parse_outcome};
 use crate::route_names::RouteNames;
 
-/// Parses `ASK <request> <route> <team> <key> <milliseconds remaining> <cost> <repeat> <update>`.
+/// Parses `ASK <request> <route> <team> <idempotency key> <time remaining in ms> <cost hint>
+/// <is repeat> <is update>`.
 pub(super) fn parse_request<'a>(
     line: &'a str,
     routes: &RouteNames,
@@ -40,7 +41,8 @@
     })
 }
 
-/// Parses `OUTCOME <request> <attempt> <endpoint> <outcome> <milliseconds> <finished> <load>`.
+/// Parses `OUTCOME <request> <attempt> <endpoint> <outcome> <duration in ms> <request finished>
+/// <load report>`.
 pub(super) fn parse_attempt_result(line: &str) -> Result<Event<'_>, AdapterError> {
     let [
         request_id,
@@ -72,7 +74,7 @@
     })
 }
 
-/// Parses `OPENED <request> <milliseconds> <endpoint> <attempt>`.
+/// Parses `OPENED <request> <duration in ms> <endpoint> <attempt>`.
 pub(super) fn parse_response_start(line: &str) -> Result<Event<'_>, AdapterError> {
     let [request_id, duration, _endpoint, attempt_index] = fields(line)?;
     parse_duration(duration)?;
@@ -81,7 +83,7 @@
     })
 }
 
-/// Parses `ECHO <endpoint> <outcome> <milliseconds> <load>`.
+/// Parses `ECHO <endpoint> <outcome> <duration in ms> <load report>`.
 pub(super) fn parse_health_check(line: &str) -> Result<Event<'_>, AdapterError> {
     let [endpoint, outcome, _duration, load] = fields(line)?;
     Ok(Event::HealthCheckFinished {
@@ -91,7 +93,7 @@
     })
 }
 
-/// Parses `CONTESTED <endpoint> <route> <milliseconds>`.
+/// Parses `CONTESTED <endpoint> <route> <age in ms>`.
 pub(super) fn parse_flagged_answer<'a>(
     line: &'a str,
     routes: &RouteNames,
--- a/crates/simulator-adapter/src/event/rollout.rs
+++ b/crates/simulator-adapter/src/event/rollout.rs
@@ -1,4 +1,4 @@
-//! Events of the rollout.
+//! Parses events about the rollout.
 
 use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex, VoteResult};
 use tidescale_settings::{parse_duration, parse_number};
@@ -8,16 +8,16 @@
 use crate::fields::{fields, optional_field};
 use crate::route_names::RouteNames;
 
-/// Reason of a `PHASE_TOLD` that is the response to a vote.
+/// Value of the reason field of a `PHASE_TOLD` that is a response to a vote.
 const RESPONSE_TO_VOTE: u8 = 1;
 
-/// Parses `PHASE_TOLD <stage> <result> <reason> <phase> <milliseconds> <traffic cap> <build>`.
+/// Parses `PHASE_TOLD <stage> <result> <reason> <phase> <age in ms> <traffic cap> <build>`.
 pub(super) fn parse_rollout(line: &str) -> Result<Event<'_>, AdapterError> {
     let [stage, result, reason, phase, age, traffic_cap, build] = fields(line)?;
     let responds_to_vote = parse_number::<u8>(reason)? == RESPONSE_TO_VOTE;
     let result = parse_vote_result(result)?;
     let vote_result = responds_to_vote.then_some(result);
-    // The other fields are only valid if the platform has accepted.
+    // The other fields are only valid if the result is `done`.
     if result != VoteResult::Accepted {
         return Ok(Event::Rollout {
             vote_result,
@@ -38,7 +38,7 @@
     })
 }
 
-/// Checks `SCORECARD <route> <milliseconds> <milliseconds> <outcomes> <lost> <build>`.
+/// Validates `SCORECARD <route> <duration in ms> <age in ms> <outcomes> <lost> <build>`.
 pub(super) fn check_scorecard<'a>(
     line: &'a str,
     routes: &RouteNames,
--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -1,4 +1,4 @@
-//! Delivers the events of one instance and one batch to its policy.
+//! Delivers the events of an instance in one batch to the instance's policy.
 
 use tidescale_policy::{Balancer, EventSource};
 
@@ -8,7 +8,7 @@
 use crate::event::Event;
 use crate::route_names::RouteNames;
 
-/// Parses and delivers lines in order, up to the first that cannot be parsed.
+/// Parses and delivers lines in order, up to the first line that cannot be parsed.
 pub struct LineEventSource<'a> {
     event_lines: &'a [EventLine],
     routes: &'a RouteNames,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> LineEventSource<'a> {
-    /// Events for an instance with these routes.
+    /// Creates a source of events for an instance with these routes.
     pub fn new(event_lines: &'a [EventLine], routes: &'a RouteNames) -> Self {
         LineEventSource {
             event_lines,
@@ -25,7 +25,8 @@
         }
     }
 
-    /// To be called after delivery. Returns the error if delivery stopped before the last line.
+    /// Returns the error if delivery stopped at a line that could not be parsed. To be called after
+    /// delivery.
     pub fn into_result(self) -> Result<(), AdapterError> {
         match self.error {
             Some(error) => Err(error),
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,14 +1,14 @@
-//! Splits a line into its fields and parses fields that several messages share.
+//! Splits a line into its fields and parses the types of fields that several messages share.
 //!
-//! Fields are separated by exactly one space; the first is the message's name. A field without a
-//! value holds `-`.
+//! Fields are separated by exactly one space. The first is the message's name. `-` stands for a
+//! missing value.
 
 use tidescale_policy::types::{AttemptOutcome, LoadReport};
 use tidescale_settings::parse_number;
 
 use crate::error::AdapterError;
 
-/// The first field of a line, which may be empty.
+/// The first field of a line; it may be empty.
 pub fn message_name(line: &str) -> &str {
     line.split(' ').next().unwrap_or_default()
 }
@@ -30,7 +30,7 @@
     Ok(fields)
 }
 
-/// The field's text; `None` for a field without a value.
+/// The field's text; `None` for `-`, a missing value.
 pub fn optional_field(text: &str) -> Option<&str> {
     (text != "-").then_some(text)
 }
@@ -52,8 +52,8 @@
     }
 }
 
-/// Parses an endpoint's load report, `NAME:VALUE,NAME:VALUE…`. Values that the policy does not use
-/// are only checked.
+/// Parses an endpoint's load report, `NAME:VALUE,NAME:VALUE…`; `None` for `-`. Values that the
+/// policy does not use are checked to be numbers and ignored.
 pub fn parse_load_report(text: &str) -> Result<Option<LoadReport>, AdapterError> {
     let Some(text) = optional_field(text) else {
         return Ok(None);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One proxy instance of the bench: its policy, and the names of its routes.
+//! One simulated proxy instance: its policy and the names of its routes.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
@@ -17,7 +17,7 @@
 }
 
 impl Instance {
-    /// Starts an instance by its line, `SPAWN <seed> <settings>`.
+    /// Starts an instance from its line, `SPAWN <seed> <settings>`.
     pub fn spawn(line: &str, now: Timestamp) -> Result<Self, AdapterError> {
         let mut parts = line.splitn(3, ' ').skip(1);
         let seed = parts.next().ok_or(AdapterError::MissingSeed)?;
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Delivers events and appends the decisions to the reply.
+    /// Delivers events to the policy and appends its decisions to the reply.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Parses settings of the form `PATH=TEXT`, separated by spaces.
+/// Parses settings of the form `PATH=TEXT` that are separated by spaces.
 fn parse_raw_settings(text: &str) -> Result<RawSettings, AdapterError> {
     text.split(' ')
         .filter(|setting| !setting.is_empty())
@@ -59,9 +59,10 @@
         .collect()
 }
 
-/// Refuses an answer slack that is shorter than the bench's tick; the setting of the tick is
-/// optional. The policy acts in the step in which a deadline passes. On the bench nothing is added
-/// to the slack, so it has to cover the time between two steps; the proxy on sockets adds 50 ms.
+/// Rejects an answer slack that is shorter than the simulator's tick, if there is a setting for the
+/// tick. The policy acts on a deadline in the step in which it passes, so the slack has to cover
+/// the time between two steps. The adapter adds nothing to the configured slack, whereas the proxy
+/// on sockets adds 50 ms.
 fn check_answer_slack(raw: &RawSettings) -> Result<(), AdapterError> {
     let slack = raw.duration("rules.answer_slack")?;
     match raw.duration("tick") {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `tidescale-simhost`: runs the policy on the operators' bench. Batches of events are read as
-//! lines from stdin, decisions are written as lines to stdout; all decisions are made by the
-//! policy.
+//! `tidescale-simhost`: runs the policy in the operators' simulator. It reads batches of events as
+//! lines from stdin and writes the policy's decisions as lines to stdout. It makes no decisions of
+//! its own.
 //!
-//! A batch is
+//! A batch has the form
 //!
 //! ```text
 //! MARK <milliseconds> <batch number>
@@ -12,14 +12,15 @@
 //! OVER_TO_YOU
 //! ```
 //!
-//! and its reply is `INSTANCE <instance>` and that instance's decisions, for each instance that was
-//! named and runs, followed by `ACK <batch number>`. Input that cannot be parsed ends the program
-//! with `INTERNAL_ERROR <message>` as its last line, the same message on stderr and a non-zero exit
-//! status.
+//! The reply has `INSTANCE <instance>` and that instance's decisions for each running instance that
+//! the batch names, followed by `ACK <batch number>`. On input that cannot be parsed, the program
+//! writes `INTERNAL_ERROR <message>` as its last line, writes the same message to stderr and exits
+//! with a non-zero status.
 //!
-//! [`adapter`] is the loop over batches and [`batch`] the events of one batch; [`event`] and
-//! [`endpoint_list`] parse the lines; [`event_source`] and [`decision_writer`] implement the two
-//! traits of a host of the policy.
+//! [`adapter`] loops over the batches and [`batch`] holds the events of one batch. [`event`] and
+//! [`endpoint_list`] parse the lines. [`event_source`] and [`decision_writer`] implement
+//! [`EventSource`](tidescale_policy::EventSource) and
+//! [`DecisionSink`](tidescale_policy::host::DecisionSink), the policy's interfaces to its host.
 
 mod adapter;
 mod batch;
--- a/crates/simulator-adapter/src/numbers.rs
+++ b/crates/simulator-adapter/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers by which the bench identifies batches, instances and endpoint lists.
+//! Numbers by which the simulator identifies batches, instances and endpoint lists.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::error::AdapterError;
 
-/// Identifies a batch in its acknowledgement.
+/// Identifies a batch; its acknowledgement repeats the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchNumber(u64);
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceNumber(u64);
 
-/// Identifies an endpoint list; a number may be used again for another list.
+/// Identifies an endpoint list. The simulator may reuse the number for another list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListNumber(u32);
 
--- a/crates/simulator-adapter/src/route_names.rs
+++ b/crates/simulator-adapter/src/route_names.rs
@@ -1,4 +1,4 @@
-//! Names of the routes of one instance.
+//! The names of an instance's routes.
 
 use tidescale_policy::settings::Settings;
 use tidescale_policy::types::RouteIndex;
@@ -9,13 +9,13 @@
 pub struct RouteNames(Vec<String>);
 
 impl RouteNames {
-    /// The names in the settings of an instance.
+    /// Takes the names from the settings of an instance.
     pub fn from_settings(settings: &Settings) -> Self {
         let names = settings.routes.iter().map(|route| route.name.clone());
         RouteNames(names.collect())
     }
 
-    /// The route of this name.
+    /// Index of the route with this name.
     pub fn index_of(&self, name: &str) -> Result<RouteIndex, AdapterError> {
         self.0
             .iter()
