--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -1,17 +1,16 @@
-//! How the adapter handles unusable settings, malformed input, and events about requests and
-//! endpoints that it does not know.
+//! Invalid settings, malformed input, and events about unknown requests and endpoints.
 
 mod common;
 
 use common::{Input, SpawnLine, run_adapter};
 
-/// Lines that the adapter cannot parse, and the whole message that it ends with.
+/// Lines that the adapter cannot parse, and the complete error message.
 struct MalformedInput {
     lines: &'static [&'static str],
     message: &'static str,
 }
 
-/// One line that the adapter cannot parse.
+/// Malformed input of a single line, and the complete error message.
 macro_rules! malformed_line {
     ($line:literal => $message:literal) => {
         MalformedInput {
@@ -124,7 +123,7 @@
     }
 }
 
-/// A setting with a text that cannot be used, and the whole message that the adapter ends with.
+/// A setting with an invalid text, and the complete error message.
 struct UnusableSetting {
     path: &'static str,
     text: &'static str,
