--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,7 @@
 //! The main loop: reads a batch, steps every running instance that it names, and writes the reply.
 //!
-//! Lines that start or stop an instance and endpoint lists take effect as soon as they are read;
-//! events are buffered until the batch is complete. No reply is written to a batch that cannot be
+//! Endpoint lists and lines that start or stop an instance take effect as soon as they are read.
+//! Events are buffered until the batch is complete. No reply is written to a batch that cannot be
 //! parsed completely.
 
 use std::collections::BTreeMap;
