--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,8 @@
-//! The loop over batches: reads one, steps every instance that it names, and writes the reply.
+//! The main loop: reads a batch, steps every running instance that it names, and writes the reply.
 //!
-//! Starts and stops of instances and endpoint lists take effect when their lines are read; events
-//! are kept until the batch is complete. A reply is written only if the whole batch was parsed.
+//! Endpoint lists and lines that start or stop an instance take effect as soon as they are read.
+//! Events are buffered until the batch is complete. No reply is written to a batch that cannot be
+//! parsed completely.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -10,24 +11,24 @@
 use tidescale_settings::parse_number;
 
 use crate::batch::{Batch, EventLine};
-use crate::endpoint_list::{EndpointRows, announced_list_number};
+use crate::endpoint_list::{EndpointRows, referenced_list_number};
 use crate::error::AdapterError;
 use crate::fields::{fields, message_name};
 use crate::instance::Instance;
 use crate::numbers::{InstanceNumber, ListNumber};
 
-/// All instances of the bench, with the streams from and to it.
+/// The simulator's instances, and the streams from and to the simulator.
 pub struct Adapter<R, W> {
     input: R,
     output: W,
     /// Running instances.
     instances: BTreeMap<InstanceNumber, Instance>,
-    /// The latest endpoint list of each number.
+    /// The latest endpoint list with each number.
     endpoint_lists: BTreeMap<ListNumber, EndpointRows>,
 }
 
 impl<R: BufRead, W: Write> Adapter<R, W> {
-    /// An adapter without instances.
+    /// Creates an adapter without instances.
     pub fn new(input: R, output: W) -> Self {
         Adapter {
             input,
@@ -37,21 +38,21 @@
         }
     }
 
-    /// Handles batch after batch, until the input ends between two of them.
+    /// Handles batches until the input ends after a complete batch.
     pub fn run(&mut self) -> Result<(), AdapterError> {
         while let Some(line) = self.read_line()? {
             if line.is_empty() {
                 continue;
             }
-            let mut batch = Batch::begin(&line)?;
-            self.read_batch(&mut batch)?;
+            let mut batch = Batch::parse_header(&line)?;
+            self.read_batch_lines(&mut batch)?;
             let reply = self.step_instances(&batch)?;
             self.write_reply(&reply)?;
         }
         Ok(())
     }
 
-    /// The next line without its line end; `None` at the end of input.
+    /// Reads the next line, without its line terminator; `None` at the end of the input.
     fn read_line(&mut self) -> Result<Option<String>, AdapterError> {
         let mut line = String::new();
         let length = self
@@ -65,11 +66,13 @@
         Ok(Some(line))
     }
 
-    /// Reads a batch up to its last line.
-    fn read_batch(&mut self, batch: &mut Batch) -> Result<(), AdapterError> {
+    /// Reads the lines of a batch up to `OVER_TO_YOU`.
+    fn read_batch_lines(&mut self, batch: &mut Batch) -> Result<(), AdapterError> {
         let mut instance = None;
         loop {
-            let line = self.read_line()?.ok_or(AdapterError::EndInsideBatch)?;
+            let line = self
+                .read_line()?
+                .ok_or(AdapterError::UnexpectedEndOfInput)?;
             match message_name(&line) {
                 "OVER_TO_YOU" => return Ok(()),
                 "AT" => {
@@ -81,7 +84,7 @@
                     let Some(instance) = instance else {
                         return Err(AdapterError::EventWithoutInstance { line });
                     };
-                    self.take_event(instance, line, batch)?;
+                    self.handle_event_line(instance, line, batch)?;
                 }
             }
         }
@@ -96,7 +99,7 @@
         for _ in 0..row_count {
             let row = self.read_line()?.unwrap_or_default();
             if !row.starts_with("ROW ") {
-                return Err(AdapterError::ListTooShort { line: row });
+                return Err(AdapterError::MissingEndpointRow { line: row });
             }
             rows.push(row);
         }
@@ -104,8 +107,8 @@
         Ok(())
     }
 
-    /// Starts or stops an instance, or keeps its event for the step.
-    fn take_event(
+    /// Starts or stops an instance, or buffers its event for the step.
+    fn handle_event_line(
         &mut self,
         instance: InstanceNumber,
         line: String,
@@ -115,14 +118,14 @@
             "SPAWN" => {
                 let spawned = Instance::spawn(&line, batch.now)?;
                 self.instances.insert(instance, spawned);
-                batch.clear(instance);
+                batch.clear_events(instance);
             }
             "DOWN" => {
                 self.instances.remove(&instance);
-                batch.clear(instance);
+                batch.clear_events(instance);
             }
             "ROSTER_CHANGE" => {
-                let list_number = announced_list_number(&line);
+                let list_number = referenced_list_number(&line);
                 let endpoint_rows = list_number
                     .and_then(|list_number| self.endpoint_lists.get(&list_number))
                     .cloned();
@@ -130,21 +133,21 @@
                     line,
                     endpoint_rows,
                 };
-                batch.push(instance, event_line);
+                batch.push_event(instance, event_line);
             }
             _ => {
                 let event_line = EventLine {
                     line,
                     endpoint_rows: None,
                 };
-                batch.push(instance, event_line);
+                batch.push_event(instance, event_line);
             }
         }
         Ok(())
     }
 
-    /// Steps the instances that the batch names, in the order of their numbers. Events for an
-    /// instance that does not run are ignored and not parsed.
+    /// Steps the instances that the batch names, in the order of their numbers, and returns the
+    /// reply. Events for an instance that is not running are ignored without being parsed.
     fn step_instances(&mut self, batch: &Batch) -> Result<String, AdapterError> {
         let mut reply = String::new();
         for (number, event_lines) in &batch.events {
--- a/crates/simulator-adapter/src/event/requests.rs
+++ b/crates/simulator-adapter/src/event/requests.rs
@@ -1,4 +1,4 @@
-//! Events of requests, attempts and health checks.
+//! Parses events about requests, attempts and health checks.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 
 use super::Event;
 use crate::error::AdapterError;
-use crate::fields::{fields, optional, parse_load_report, parse_outcome};
+use crate::fields::{fields, optional_field, parse_load_report, parse_outcome};
 use crate::route_names::RouteNames;
 
-/// Parses `ASK <request> <route> <team> <key> <milliseconds remaining> <cost> <repeat> <update>`.
+/// Parses `ASK <request> <route> <team> <idempotency key> <time remaining in ms> <cost hint>
+/// <is repeat> <is update>`.
 pub(super) fn parse_request<'a>(
     line: &'a str,
     routes: &RouteNames,
@@ -25,12 +26,12 @@
         is_repeat,
         is_update,
     ] = fields(line)?;
-    let cost_hint = optional(cost_hint).map(parse_number).transpose()?;
+    let cost_hint = optional_field(cost_hint).map(parse_number).transpose()?;
     parse_flag(is_repeat)?;
     parse_flag(is_update)?;
     let request = IncomingRequest {
-        route: routes.find(route)?,
-        idempotency_key: optional(idempotency_key),
+        route: routes.index_of(route)?,
+        idempotency_key: optional_field(idempotency_key),
         time_remaining: parse_duration(time_remaining)?,
         cost_hint,
     };
@@ -40,7 +41,8 @@
     })
 }
 
-/// Parses `OUTCOME <request> <attempt> <endpoint> <outcome> <milliseconds> <finished> <load>`.
+/// Parses `OUTCOME <request> <attempt> <endpoint> <outcome> <duration in ms> <request finished>
+/// <load report>`.
 pub(super) fn parse_attempt_result(line: &str) -> Result<Event<'_>, AdapterError> {
     let [
         request_id,
@@ -51,7 +53,7 @@
         request_finished,
         load,
     ] = fields(line)?;
-    let duration = optional(duration).map_or(Ok(Duration::ZERO), parse_duration)?;
+    let duration = optional_field(duration).map_or(Ok(Duration::ZERO), parse_duration)?;
     let result = AttemptResult {
         outcome: parse_outcome(outcome)?,
         duration,
@@ -72,7 +74,7 @@
     })
 }
 
-/// Parses `OPENED <request> <milliseconds> <endpoint> <attempt>`.
+/// Parses `OPENED <request> <duration in ms> <endpoint> <attempt>`.
 pub(super) fn parse_response_start(line: &str) -> Result<Event<'_>, AdapterError> {
     let [request_id, duration, _endpoint, attempt_index] = fields(line)?;
     parse_duration(duration)?;
@@ -81,7 +83,7 @@
     })
 }
 
-/// Parses `ECHO <endpoint> <outcome> <milliseconds> <load>`.
+/// Parses `ECHO <endpoint> <outcome> <duration in ms> <load report>`.
 pub(super) fn parse_health_check(line: &str) -> Result<Event<'_>, AdapterError> {
     let [endpoint, outcome, _duration, load] = fields(line)?;
     Ok(Event::HealthCheckFinished {
@@ -91,13 +93,13 @@
     })
 }
 
-/// Parses `CONTESTED <endpoint> <route> <milliseconds>`.
+/// Parses `CONTESTED <endpoint> <route> <age in ms>`.
 pub(super) fn parse_flagged_answer<'a>(
     line: &'a str,
     routes: &RouteNames,
 ) -> Result<Event<'a>, AdapterError> {
     let [endpoint, route, age] = fields(line)?;
-    routes.find(route)?;
+    routes.index_of(route)?;
     Ok(Event::AnswerFlagged {
         endpoint,
         age: parse_duration(age)?,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One proxy instance of the bench: its policy, and the names of its routes.
+//! One simulated proxy instance: its policy and the names of its routes.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
@@ -7,7 +7,7 @@
 use crate::batch::EventLine;
 use crate::decision_writer::DecisionWriter;
 use crate::error::AdapterError;
-use crate::event_source::LineEvents;
+use crate::event_source::LineEventSource;
 use crate::route_names::RouteNames;
 
 /// A running instance.
@@ -17,51 +17,52 @@
 }
 
 impl Instance {
-    /// Starts an instance by its line, `SPAWN <seed> <settings>`.
+    /// Starts an instance from its line, `SPAWN <seed> <settings>`.
     pub fn spawn(line: &str, now: Timestamp) -> Result<Self, AdapterError> {
         let mut parts = line.splitn(3, ' ').skip(1);
-        let seed = parts.next().ok_or(AdapterError::SpawnWithoutSeed)?;
+        let seed = parts.next().ok_or(AdapterError::MissingSeed)?;
         let seed = parse_number(seed)?;
-        let settings = parts.next().ok_or(AdapterError::SpawnWithoutSettings)?;
+        let settings = parts.next().ok_or(AdapterError::MissingSettings)?;
         let raw = parse_raw_settings(settings)?;
         check_answer_slack(&raw)?;
         let settings = decode(&raw)?;
         Ok(Instance {
-            routes: RouteNames::of(&settings),
+            routes: RouteNames::from_settings(&settings),
             policy: Balancer::new(settings, seed, now),
         })
     }
 
-    /// Delivers events and appends the decisions to the reply.
+    /// Delivers events to the policy and appends its decisions to the reply.
     pub fn step(
         &mut self,
         now: Timestamp,
         event_lines: &[EventLine],
         reply: &mut String,
     ) -> Result<(), AdapterError> {
-        let mut events = LineEvents::new(event_lines, &self.routes);
+        let mut events = LineEventSource::new(event_lines, &self.routes);
         let mut decisions = DecisionWriter::new(reply);
         self.policy.step(now, &mut events, &mut decisions);
-        events.finish()
+        events.into_result()
     }
 }
 
-/// Parses settings of the form `PATH=TEXT`, separated by spaces.
+/// Parses settings of the form `PATH=TEXT` that are separated by spaces.
 fn parse_raw_settings(text: &str) -> Result<RawSettings, AdapterError> {
     text.split(' ')
         .filter(|setting| !setting.is_empty())
         .map(|setting| match setting.split_once('=') {
             Some((path, value)) => Ok((path.to_string(), value.to_string())),
-            None => Err(AdapterError::NotASetting {
+            None => Err(AdapterError::MalformedSetting {
                 text: setting.to_string(),
             }),
         })
         .collect()
 }
 
-/// Refuses an answer slack that is shorter than the bench's tick; the setting of the tick is
-/// optional. The policy acts in the step in which a deadline passes. On the bench nothing is added
-/// to the slack, so it has to cover the time between two steps; the proxy on sockets adds 50 ms.
+/// Rejects an answer slack that is shorter than the simulator's tick, if there is a setting for the
+/// tick. The policy acts on a deadline in the step in which it passes, so the slack has to cover
+/// the time between two steps. The adapter adds nothing to the configured slack, whereas the proxy
+/// on sockets adds 50 ms.
 fn check_answer_slack(raw: &RawSettings) -> Result<(), AdapterError> {
     let slack = raw.duration("rules.answer_slack")?;
     match raw.duration("tick") {
