--- a/crates/experiments/src/trace.rs
+++ b/crates/experiments/src/trace.rs
@@ -66,7 +66,7 @@
     fn case(self, first_seed: u64) -> TrialCase {
         let seed = first_seed.wrapping_add(self.0);
         let mut random = RandomStream::new(seed, CASE_STREAM);
-        let build = if random.happens(GOOD_SHARE) {
+        let build = if random.bernoulli(GOOD_SHARE) {
             BuildBehavior::draw_good(&mut random)
         } else {
             BuildBehavior::draw_bad(&mut random)
@@ -83,7 +83,7 @@
 
     fn size(self) -> FleetSize {
         if (self.0 + 1).is_multiple_of(TRIALS_PER_GROWN_FLEET) {
-            FleetSize::GROWN
+            FleetSize::MEDIUM
         } else {
             FleetSize::SMALL
         }
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -38,8 +38,8 @@
     fn size(self) -> FleetSize {
         match self {
             Fleet::Small => FleetSize::SMALL,
-            Fleet::Grown => FleetSize::GROWN,
-            Fleet::Huge => FleetSize::HUGE,
+            Fleet::Grown => FleetSize::MEDIUM,
+            Fleet::Huge => FleetSize::LARGE,
         }
     }
 }
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -82,7 +82,7 @@
     let mut random = RandomStream::new(seed, CASE_STREAM);
     let build = BuildBehavior::draw(&mut random);
     let drawn = Confounder::ALL[random.index_below(Confounder::ALL.len())];
-    let confounder = if random.happens(WITHOUT_CONFOUNDER) {
+    let confounder = if random.bernoulli(WITHOUT_CONFOUNDER) {
         Confounder::None
     } else {
         drawn
--- a/crates/simulation/src/attempts.rs
+++ b/crates/simulation/src/attempts.rs
@@ -113,12 +113,12 @@
 
     /// Whether a client reports a wrong answer.
     pub(crate) fn draw_flagged(&mut self) -> bool {
-        self.outcomes.happens(FLAGGED_SHARE)
+        self.outcomes.bernoulli(FLAGGED_SHARE)
     }
 
     fn draw_cost(&mut self, route: RouteIndex) -> CoreMicros {
         let mean = fractional_micros(ROUTES[route.get()].mean_cost);
-        CoreMicros(mean * self.costs.cost_factor())
+        CoreMicros(mean * self.costs.unit_mean_erlang())
     }
 
     /// Makes two draws for every attempt, also where the build does not need them, so that a pair
--- a/crates/simulation/src/build_behavior.rs
+++ b/crates/simulation/src/build_behavior.rs
@@ -85,7 +85,7 @@
 
     /// A build that is good with probability 0.6.
     pub fn draw(random: &mut RandomStream) -> BuildBehavior {
-        if random.happens(GOOD_SHARE) {
+        if random.bernoulli(GOOD_SHARE) {
             BuildBehavior::draw_good(random)
         } else {
             BuildBehavior::draw_bad(random)
@@ -94,14 +94,14 @@
 
     /// A good build: a little faster or slower than the baseline.
     pub fn draw_good(random: &mut RandomStream) -> BuildBehavior {
-        BuildBehavior::CostFactor(random.between(0.88..1.12))
+        BuildBehavior::CostFactor(random.uniform_in(0.88..1.12))
     }
 
     /// A bad build; each way of being bad is equally likely.
     pub fn draw_bad(random: &mut RandomStream) -> BuildBehavior {
-        let probability = random.between(0.04..0.35);
+        let probability = random.uniform_in(0.04..0.35);
         match random.index_below(BAD_BEHAVIORS) {
-            0 => BuildBehavior::CostFactor(random.between(1.4..3.0)),
+            0 => BuildBehavior::CostFactor(random.uniform_in(1.4..3.0)),
             1 => BuildBehavior::FailsOnRoute {
                 route: RouteIndex::new(random.index_below(IDEMPOTENT_ROUTES)),
                 probability,
@@ -112,12 +112,12 @@
             },
             3 => BuildBehavior::FailsWhenBusy(probability),
             4 => BuildBehavior::FailsAfterUptime {
-                uptime: random.duration_between(Duration::from_secs(3)..Duration::from_secs(8)),
+                uptime: random.uniform_duration(Duration::from_secs(3)..Duration::from_secs(8)),
                 probability,
             },
             5 => BuildBehavior::WrongAnswers(probability),
             6 => BuildBehavior::NeverAnswers(0.4 * probability),
-            7 => BuildBehavior::SlowsFleet(random.between(1.6..3.0)),
+            7 => BuildBehavior::SlowsFleet(random.uniform_in(1.6..3.0)),
             _ => BuildBehavior::FailsOnHardware {
                 hardware_class: HardwareClassIndex::new(random.index_below(HARDWARE.len())),
                 probability,
--- a/crates/simulation/src/case.rs
+++ b/crates/simulation/src/case.rs
@@ -25,13 +25,13 @@
         duration: Duration::from_secs(45),
     };
     /// A deployment over several racks.
-    pub const GROWN: FleetSize = FleetSize {
+    pub const MEDIUM: FleetSize = FleetSize {
         instances: 60,
         endpoints: 150,
         duration: Duration::from_secs(40),
     };
     /// The largest deployment that is modelled.
-    pub const HUGE: FleetSize = FleetSize {
+    pub const LARGE: FleetSize = FleetSize {
         instances: 400,
         endpoints: 1000,
         duration: Duration::from_secs(35),
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -44,7 +44,7 @@
     /// endpoint's entry as of the end of the delay.
     pub(crate) fn list_endpoint(&mut self, now: Timestamp, endpoint: EndpointId) {
         for instance in (0..self.instances).map(InstanceIndex::new) {
-            let at = now + self.delays.duration_between(DISCOVERY_DELAY);
+            let at = now + self.delays.uniform_duration(DISCOVERY_DELAY);
             self.queue
                 .notify(at, instance, Notice::EndpointListed(endpoint));
         }
@@ -53,7 +53,7 @@
     /// Notifies every instance of the rollout's state, each after its own delay.
     pub(crate) fn announce_rollout(&mut self, now: Timestamp, announcement: RolloutAnnouncement) {
         for instance in (0..self.instances).map(InstanceIndex::new) {
-            let at = now + self.delays.duration_between(ANNOUNCEMENT_DELAY);
+            let at = now + self.delays.uniform_duration(ANNOUNCEMENT_DELAY);
             self.queue
                 .notify(at, instance, Notice::RolloutAnnounced(announcement));
         }
@@ -66,23 +66,23 @@
         instance: InstanceIndex,
         result: VoteResult,
     ) {
-        let at = now + self.delays.duration_between(VOTE_DELAY);
+        let at = now + self.delays.uniform_duration(VOTE_DELAY);
         self.queue
             .notify(at, instance, Notice::VoteAnswered(result));
     }
 
     /// How long a client takes to report a wrong answer.
     pub(crate) fn draw_flag_delay(&mut self) -> Duration {
-        self.delays.duration_between(FLAG_DELAY)
+        self.delays.uniform_duration(FLAG_DELAY)
     }
 
     /// How long one way between an instance and an endpoint takes.
     pub(crate) fn draw_hop_delay(&mut self) -> Duration {
-        self.delays.duration_between(HOP_DELAY)
+        self.delays.uniform_duration(HOP_DELAY)
     }
 
     /// Whether a response carries a load report.
     pub(crate) fn draw_load_report_arrives(&mut self) -> bool {
-        self.delays.happens(LOAD_REPORT_SHARE)
+        self.delays.bernoulli(LOAD_REPORT_SHARE)
     }
 }
