--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -30,11 +30,11 @@
     /// The instance.
     pub(crate) instance: InstanceIndex,
     /// The notification.
-    pub(crate) notice: Notice,
+    pub(crate) notification: Notification,
 }
 
 /// A notification of an instance.
-pub(crate) enum Notice {
+pub(crate) enum Notification {
     /// A client sends a new request.
     RequestArrived,
     /// A client retries a request that had failed.
@@ -172,8 +172,19 @@
     }
 
     /// Schedules a notification of an instance.
-    pub(crate) fn notify(&mut self, at: Timestamp, instance: InstanceIndex, notice: Notice) {
-        self.schedule(at, Event::Instance(InstanceEvent { instance, notice }));
+    pub(crate) fn notify(
+        &mut self,
+        at: Timestamp,
+        instance: InstanceIndex,
+        notification: Notification,
+    ) {
+        self.schedule(
+            at,
+            Event::Instance(InstanceEvent {
+                instance,
+                notification,
+            }),
+        );
     }
 
     /// Takes the next event whose time has come.
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -31,7 +31,7 @@
     /// The order in which the rollout takes the slots.
     replacement_order: Vec<SlotIndex>,
     /// Number of ordered replacements that do not run yet.
-    starting: usize,
+    pending_replacements: usize,
 }
 
 impl Fleet {
@@ -55,7 +55,7 @@
             ids_by_name,
             slots: (0..size).map(EndpointId::new).collect(),
             replacement_order,
-            starting: 0,
+            pending_replacements: 0,
         }
     }
 
@@ -85,8 +85,8 @@
     }
 
     /// Whether replacements have been ordered that do not run yet.
-    pub(crate) fn has_starting(&self) -> bool {
-        self.starting > 0
+    pub(crate) fn has_pending_replacements(&self) -> bool {
+        self.pending_replacements > 0
     }
 
     /// All endpoints.
@@ -107,7 +107,7 @@
 
     /// The build that serves in a slot.
     pub(crate) fn build_in(&self, slot: SlotIndex) -> BuildNumber {
-        self.serving_in(slot).build
+        self.endpoint_in(slot).build
     }
 
     /// Share of the slots in which the candidate serves.
@@ -129,7 +129,7 @@
     ) -> Replacement {
         let endpoint = EndpointId::new(self.endpoints.len());
         let name = format!("b{}", endpoint.get());
-        let placement = self.serving_in(slot).placement;
+        let placement = self.endpoint_in(slot).placement;
         let ready_at = now + BOOT_TIME;
         self.ids_by_name.insert(name.clone(), endpoint);
         self.endpoints.push(SimulatedEndpoint::new(
@@ -138,7 +138,7 @@
             build,
             Some(ready_at),
         ));
-        self.starting += 1;
+        self.pending_replacements += 1;
         Replacement {
             slot,
             endpoint,
@@ -150,12 +150,12 @@
     pub(crate) fn complete_replacement(&mut self, replacement: Replacement) -> EndpointId {
         let slot = &mut self.slots[replacement.slot.get()];
         let replaced = std::mem::replace(slot, replacement.endpoint);
-        self.starting -= 1;
+        self.pending_replacements -= 1;
         self.endpoint_mut(replaced).state = EndpointState::Draining;
         replaced
     }
 
-    fn serving_in(&self, slot: SlotIndex) -> &SimulatedEndpoint {
+    fn endpoint_in(&self, slot: SlotIndex) -> &SimulatedEndpoint {
         self.endpoint(self.slots[slot.get()])
     }
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -5,7 +5,7 @@
 
 use tidescale_policy::types::{Timestamp, VoteResult};
 
-use crate::events::{EventQueue, Notice, RolloutAnnouncement};
+use crate::events::{EventQueue, Notification, RolloutAnnouncement};
 use crate::ids::{EndpointId, InstanceIndex};
 use crate::random_stream::{RandomStream, stream};
 
@@ -46,7 +46,7 @@
         for instance in (0..self.instances).map(InstanceIndex::new) {
             let at = now + self.delays.uniform_duration(DISCOVERY_DELAY);
             self.queue
-                .notify(at, instance, Notice::EndpointListed(endpoint));
+                .notify(at, instance, Notification::EndpointListed(endpoint));
         }
     }
 
@@ -55,7 +55,7 @@
         for instance in (0..self.instances).map(InstanceIndex::new) {
             let at = now + self.delays.uniform_duration(ANNOUNCEMENT_DELAY);
             self.queue
-                .notify(at, instance, Notice::RolloutAnnounced(announcement));
+                .notify(at, instance, Notification::RolloutAnnounced(announcement));
         }
     }
 
@@ -68,7 +68,7 @@
     ) {
         let at = now + self.delays.uniform_duration(VOTE_DELAY);
         self.queue
-            .notify(at, instance, Notice::VoteAnswered(result));
+            .notify(at, instance, Notification::VoteAnswered(result));
     }
 
     /// How long a client takes to report a wrong answer.
--- a/crates/simulation/src/random_stream.rs
+++ b/crates/simulation/src/random_stream.rs
@@ -69,8 +69,8 @@
     /// Exponentially distributed with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         /// Keeps the logarithm finite.
-        const SMALLEST: f64 = 1e-12;
-        -mean * (1.0 - self.uniform()).max(SMALLEST).ln()
+        const MIN_UNIFORM: f64 = 1e-12;
+        -mean * (1.0 - self.uniform()).max(MIN_UNIFORM).ln()
     }
 
     /// A sum of four exponentials: mean 1, standard deviation one half.
