--- a/crates/simulation/src/attempts.rs
+++ b/crates/simulation/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt, which depends on the endpoint's queue, its build and its impairment.
+//! Outcome and duration of an attempt, from the endpoint's queue, build and impairment.
 
 use std::time::Duration;
 
@@ -11,38 +11,38 @@
 use crate::parameters::ROUTES;
 use crate::random_stream::{RandomStream, stream};
 
-/// Time until an endpoint responds with an error; errors skip the queue.
+/// Time that an endpoint takes to respond with an error. Errors bypass the queue.
 const FAILURE_TIME: Duration = Duration::from_millis(2);
-/// Share of the wrong answers that clients report.
+/// Fraction of the wrong answers that clients report.
 const FLAGGED_SHARE: f64 = 0.5;
 
-/// An attempt that is sent to an endpoint.
+/// An attempt to be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Attempt {
-    /// The endpoint.
+    /// The target endpoint.
     pub(crate) endpoint: EndpointId,
     /// The request's route.
     pub(crate) route: RouteIndex,
-    /// When it was sent.
+    /// When the attempt is sent.
     pub(crate) sent_at: Timestamp,
-    /// When it times out.
+    /// When the attempt times out.
     pub(crate) deadline: Timestamp,
 }
 
-/// The end of an attempt, known when it is sent.
+/// The end of an attempt, computed when the attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptEnd {
-    /// How it ends.
+    /// The outcome that the policy is told.
     pub(crate) outcome: AttemptOutcome,
-    /// When it ends.
+    /// When the attempt ends.
     pub(crate) at: Timestamp,
-    /// It is a complete answer, but a wrong one.
+    /// Whether an answer to this attempt is complete but wrong.
     pub(crate) wrong_answer: bool,
-    /// Requests in flight that the endpoint reports.
+    /// Number of requests in flight that the endpoint reports.
     pub(crate) reported_in_flight: usize,
 }
 
-/// How an endpoint treats a request that it has taken.
+/// How an endpoint responds to a request that it has admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseKind {
     Answered,
@@ -50,14 +50,14 @@
     NeverAnswered,
 }
 
-/// The effect of the build and of the endpoint's impairment on a request.
+/// The combined effect of the build and of the endpoint's impairment on a request.
 struct RequestEffect {
     cost_factor: f64,
     response: ResponseKind,
     wrong_answer: bool,
 }
 
-/// What the behavior of a build depends on.
+/// The conditions on which the behavior of a build depends.
 struct ServingConditions<'a> {
     fleet: &'a Fleet,
     endpoint: &'a SimulatedEndpoint,
@@ -66,7 +66,7 @@
     now: Timestamp,
 }
 
-/// Draws costs and ends of attempts.
+/// Draws the costs and outcomes of attempts.
 pub(crate) struct AttemptModel {
     candidate: BuildBehavior,
     costs: RandomStream,
@@ -74,7 +74,7 @@
 }
 
 impl AttemptModel {
-    /// Attempts in a trial whose candidate behaves like this.
+    /// Creates the model for a trial whose candidate has the given behavior.
     pub(crate) fn new(seed: u64, candidate: BuildBehavior) -> AttemptModel {
         AttemptModel {
             candidate,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Sends an attempt to its endpoint and returns its end. `draw_hop` draws the time of one hop.
+    /// Submits an attempt to its endpoint and returns its end. `draw_hop` draws the one-way network
+    /// delay.
     pub(crate) fn resolve(
         &mut self,
         attempt: Attempt,
@@ -111,7 +112,7 @@
         attempt_end(attempt, &effect, admission, hop)
     }
 
-    /// Whether a client reports a wrong answer.
+    /// Draws whether a client reports a wrong answer.
     pub(crate) fn draw_flagged(&mut self) -> bool {
         self.outcomes.bernoulli(FLAGGED_SHARE)
     }
@@ -121,8 +122,8 @@
         CoreMicros(mean * self.costs.unit_mean_erlang())
     }
 
-    /// Makes two draws for every attempt, also where the build does not need them, so that a pair
-    /// of trials differs by the build alone.
+    /// Draws the effect on an attempt. Every attempt takes two draws, even if the build does not
+    /// use them, so that the random numbers of paired trials stay aligned.
     fn draw_effect(&mut self, attempt: Attempt, fleet: &mut Fleet) -> RequestEffect {
         let now = attempt.sent_at;
         let in_flight = fleet.endpoint_mut(attempt.endpoint).in_flight(now);
@@ -142,7 +143,7 @@
         effect
     }
 
-    /// The effect of the build alone on a request.
+    /// Returns the effect of the build alone on a request.
     fn build_effect(&self, draw: f64, conditions: &ServingConditions) -> RequestEffect {
         let mut effect = RequestEffect {
             cost_factor: 1.0,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Probability with which a request fails at an endpoint that runs this build.
+/// Returns the probability that a request fails at an endpoint that runs this build.
 fn failure_probability(build: BuildBehavior, conditions: &ServingConditions) -> f64 {
     let endpoint = conditions.endpoint;
     let (applies, probability) = match build {
@@ -200,7 +201,7 @@
     if applies { probability } else { 0.0 }
 }
 
-/// Combines the endpoint's response to an attempt with the effect of build and impairment.
+/// Combines the endpoint's admission of an attempt with the effect of its build and impairment.
 fn attempt_end(
     attempt: Attempt,
     effect: &RequestEffect,
--- a/crates/simulation/src/build_behavior.rs
+++ b/crates/simulation/src/build_behavior.rs
@@ -1,4 +1,4 @@
-//! What a build does to requests. The instances do not know it and have to detect it.
+//! The effect of a build on requests. It is hidden from the policy, which has to detect it.
 
 use std::time::Duration;
 
@@ -7,60 +7,62 @@
 use crate::parameters::HARDWARE;
 use crate::random_stream::RandomStream;
 
-/// The route whose requests must not be executed twice.
+/// The route whose requests must be executed at most once.
 pub const NON_IDEMPOTENT_ROUTE: RouteIndex = RouteIndex::new(3);
 
-/// Number of idempotent routes, which come first.
+/// Number of idempotent routes; they have the lowest indexes.
 const IDEMPOTENT_ROUTES: usize = 2;
-/// A build whose cost is below this multiple of the baseline's counts as good.
+/// A build counts as good if its cost per request is below this multiple of the baseline's.
 const GOOD_COST_LIMIT: f64 = 1.2;
-/// Share of good builds among drawn ones.
+/// Probability that a drawn build is good.
 const GOOD_SHARE: f64 = 0.6;
-/// Number of ways in which a drawn build may be bad.
+/// Number of kinds of bad builds that can be drawn.
 const BAD_BEHAVIORS: usize = 9;
 
-/// The behavior of a build, relative to a baseline that never fails by itself.
+/// The behavior of a build, relative to a baseline that never causes failures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BuildBehavior {
-    /// The cost of each request is multiplied by this factor; near 1, the build is good.
+    /// The cost of each request is multiplied by this factor. Near 1, the build is good.
     CostFactor(f64),
-    /// Requests of one route fail.
+    /// Requests on one route fail.
     FailsOnRoute {
         /// The route.
         route: RouteIndex,
-        /// Share of its requests that fail.
+        /// Probability that a request on the route fails.
         probability: f64,
     },
-    /// Requests fail with this probability while the endpoint has more of them than cores.
+    /// Requests fail with this probability while the endpoint has more requests in flight than
+    /// cores.
     FailsWhenBusy(f64),
-    /// Requests fail once an endpoint has run for some time.
+    /// Requests fail once an endpoint has reached a certain uptime.
     FailsAfterUptime {
-        /// Time since the endpoint's start.
+        /// Uptime after which requests fail.
         uptime: Duration,
-        /// Share of the requests that fail from then on.
+        /// Probability that a request fails from then on.
         probability: f64,
     },
-    /// Answers are wrong with this probability; only clients notice.
+    /// Answers are wrong with this probability. Instances cannot detect this themselves; they
+    /// depend on reports from clients.
     WrongAnswers(f64),
-    /// Requests get no answer with this probability.
+    /// Requests receive no response, with this probability.
     NeverAnswers(f64),
-    /// A shared dependency slows all endpoints, up to this factor as the build's share of the fleet
-    /// grows.
+    /// The build slows all endpoints through a shared dependency. The slowdown grows linearly with
+    /// the build's share of the fleet, up to this factor.
     SlowsFleet(f64),
-    /// Requests fail on endpoints of one hardware class.
+    /// Requests fail at endpoints of one hardware class.
     FailsOnHardware {
         /// The hardware class.
         hardware_class: HardwareClassIndex,
-        /// Share of the requests that fail there.
+        /// Probability that a request fails there.
         probability: f64,
     },
 }
 
 impl BuildBehavior {
-    /// A build that behaves exactly like the baseline.
+    /// A build that behaves identically to the baseline.
     pub const SAME_AS_BASELINE: BuildBehavior = BuildBehavior::CostFactor(1.0);
 
-    /// Its name in tables.
+    /// Returns the display name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             BuildBehavior::CostFactor(factor) if factor < GOOD_COST_LIMIT => "good",
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Whether it would be wrong to roll the build back.
+    /// Whether rolling the build back would be a false rollback.
     pub fn is_good(self) -> bool {
         matches!(self, BuildBehavior::CostFactor(factor) if factor < GOOD_COST_LIMIT)
     }
 
-    /// A build that is good with probability 0.6.
+    /// Draws a build that is good with probability 0.6.
     pub fn draw(random: &mut RandomStream) -> BuildBehavior {
         if random.bernoulli(GOOD_SHARE) {
             BuildBehavior::draw_good(random)
@@ -92,12 +94,12 @@
         }
     }
 
-    /// A good build: a little faster or slower than the baseline.
+    /// Draws a good build, which is slightly faster or slower than the baseline.
     pub fn draw_good(random: &mut RandomStream) -> BuildBehavior {
         BuildBehavior::CostFactor(random.uniform_in(0.88..1.12))
     }
 
-    /// A bad build; each way of being bad is equally likely.
+    /// Draws a bad build; each kind is equally likely.
     pub fn draw_bad(random: &mut RandomStream) -> BuildBehavior {
         let probability = random.uniform_in(0.04..0.35);
         match random.index_below(BAD_BEHAVIORS) {
--- a/crates/simulation/src/case.rs
+++ b/crates/simulation/src/case.rs
@@ -1,19 +1,19 @@
-//! What a trial runs: the size of the deployment, the settings of the instances, the build under
-//! evaluation, and other trouble.
+//! Configuration of a trial: the size of the deployment, the settings of the instances, the build
+//! under evaluation and the confounder.
 
 use std::time::Duration;
 
 use crate::build_behavior::BuildBehavior;
 use crate::confounder::Confounder;
 
-/// Size of the deployment and length of the trial.
+/// Size of the deployment and duration of the trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Proxy instances.
+    /// Number of proxy instances.
     pub instances: usize,
-    /// Endpoints.
+    /// Number of endpoints at the start of the trial.
     pub endpoints: usize,
-    /// Length of the trial in virtual time, in whole seconds.
+    /// Duration of the trial in virtual time, in whole seconds.
     pub duration: Duration,
 }
 
@@ -24,13 +24,13 @@
         endpoints: 12,
         duration: Duration::from_secs(45),
     };
-    /// A deployment over several racks.
+    /// A deployment that spans several racks.
     pub const MEDIUM: FleetSize = FleetSize {
         instances: 60,
         endpoints: 150,
         duration: Duration::from_secs(40),
     };
-    /// The largest deployment that is modelled.
+    /// The largest modelled deployment.
     pub const LARGE: FleetSize = FleetSize {
         instances: 400,
         endpoints: 1000,
@@ -43,37 +43,40 @@
 pub enum RollbackTrigger {
     /// The votes of the instances, as in a real deployment.
     Votes,
-    /// Nothing: every build advances through the stages by the clock.
+    /// Nothing: the platform ignores votes, and every build passes through the stages on a fixed
+    /// schedule.
     Never,
-    /// The first failed or timed-out attempt at the candidate, at any instance. This is far too
-    /// sensitive; experiments use it to check that they detect false rollbacks.
+    /// Each failed or timed-out attempt at the candidate counts as a rollback vote of its instance,
+    /// so that in a small fleet the first one triggers the rollback. This trigger is deliberately
+    /// far too sensitive: experiments use it to check that they detect false rollbacks.
     FirstFailure,
 }
 
-/// Which of the optional limits the settings have.
+/// Which optional restrictions the settings of the instances enable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsProfile {
-    /// Hedging is allowed, stages advance automatically, exposure is counted over all routes.
+    /// Hedging is allowed, stages advance automatically, and exposure is limited over all routes
+    /// together.
     Standard,
-    /// No hedging, stages wait for votes, exposure by route, idempotency keys bound to a build, and
-    /// an endpoint list that has to be polled.
+    /// No hedging, stages wait for votes, exposure is limited for each route, idempotency keys are
+    /// bound to a build, and the endpoint list has to be polled.
     Strict,
 }
 
-/// One trial. Trials that differ only in `build` make a pair: everything else is equal until the
-/// build is offered.
+/// Configuration of one trial. Trials that differ only in `build` form a pair: they run identically
+/// until the build is offered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrialCase {
-    /// Seed of every draw.
+    /// Seed of all random streams of the trial.
     pub seed: u64,
     /// Size of the deployment.
     pub size: FleetSize,
-    /// Settings of the instances.
+    /// Profile of the instances' settings.
     pub profile: SettingsProfile,
-    /// How the candidate behaves.
+    /// Behavior of the candidate.
     pub build: BuildBehavior,
-    /// Trouble that the build does not cause.
+    /// Disturbance that the build does not cause.
     pub confounder: Confounder,
-    /// What makes the platform roll back.
+    /// What makes the platform roll the candidate back.
     pub rollback_trigger: RollbackTrigger,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,30 +1,30 @@
-//! Endpoints, builds, the rollout platform, discovery and clients in virtual time, around the real
-//! policy.
+//! Discrete-event simulation of a deployment: the production policy runs in virtual time against
+//! simulated endpoints, builds, clients, service discovery and a rollout platform.
 //!
 //! [`trial::run_trial`] runs one [`case::TrialCase`] and returns its [`outcome::TrialOutcome`]. It
 //! drives [`tidescale_policy::Balancer`] through the same two traits as the proxy does, and does no
 //! I/O.
 //!
 //! Invariants:
-//! - The same case gives the same outcome, to the bit, on every run and on every computer.
-//! - Each part of the model draws from its own [`random_stream`]. Cases that differ only in the
-//!   behavior of the build are therefore equal until that build is offered, and can be compared as
-//!   a pair.
-//! - All ranges belong to this model; none is measured at a deployment.
+//! - The same case gives a bit-identical outcome on every run and on every machine.
+//! - Each part of the model draws from its own [`random_stream`]. Two cases that differ only in the
+//!   behavior of the build therefore run identically until that build is offered, and can be
+//!   compared as a pair.
+//! - All parameter ranges are assumptions of this model; none was measured in a deployment.
 //!
-//! Modules, lowest first; each imports only from those above it:
+//! Modules, lowest layer first; each imports only from those above it:
 //!
-//! | module | its one job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`digest`], `ids`, `parameters` | a digest over numbers; typed indexes; constants with their units |
-//! | [`random_stream`], [`build_behavior`] | random draws; what a build does to requests |
-//! | `endpoint`, `fleet` | how an endpoint serves; which endpoint serves in which slot |
-//! | [`confounder`], [`case`], [`outcome`] | trouble besides the build; what a trial runs; its result |
-//! | `events`, `network` | future events, in order; messages and how long they take |
-//! | `rollout`, `clients`, `attempts` | the platform's stages and votes; requests; the end of an attempt |
-//! | `environment` | the state of a trial, made of the parts above |
-//! | `settings`, `delivery`, `decisions`, `decision_digest` | the host side of the policy's interface |
-//! | [`trial`] | the run loop |
+//! | [`digest`], `ids`, `parameters` | digest over numbers; typed indexes; model constants |
+//! | [`random_stream`], [`build_behavior`] | random draws; effect of a build on requests |
+//! | `endpoint`, `fleet` | request service at an endpoint; assignment of endpoints to slots |
+//! | [`confounder`], [`case`], [`outcome`] | disturbances; trial configuration; trial result |
+//! | `events`, `network` | event queue; message delays |
+//! | `rollout`, `clients`, `attempts` | stages and votes; requests and retries; attempts |
+//! | `environment` | state of a trial, composed of the parts above |
+//! | `settings`, `delivery`, `decisions`, `decision_digest` | host side of the policy's interface |
+//! | [`trial`] | run loop |
 
 mod attempts;
 pub mod build_behavior;
