--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: when they send requests, on which routes, and when they retry.
+//! Clients: request arrivals, routes and retries.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -11,87 +11,87 @@
 use crate::parameters::{MICROS_PER_SECOND, REQUEST_DEADLINE, ROUTES};
 use crate::random_stream::{RandomStream, stream};
 
-/// Share of the fleet's capacity that the requests need, as the range that it is drawn from.
+/// Range of the fleet's utilization: the mean work that arrives, as a fraction of the capacity.
 const UTILIZATION: Range<f64> = 0.4..0.6;
-/// Traffic of an instance relative to the others, as the range that it is drawn from.
+/// Range of an instance's traffic weight relative to other instances.
 const TRAFFIC_WEIGHT: Range<f64> = 0.6..1.4;
-/// Requests under [`Confounder::Burst`](crate::confounder::Confounder::Burst), as a multiple of the
-/// normal rate.
+/// Request rate under [`Confounder::Burst`](crate::confounder::Confounder::Burst), as a multiple of
+/// the normal rate.
 const BURST_FACTOR: f64 = 1.7;
-/// The route to which [`Confounder::HeavyRoute`](crate::confounder::Confounder::HeavyRoute) adds
-/// requests: the costliest one.
+/// The most expensive route, whose share of the traffic
+/// [`Confounder::HeavyRoute`](crate::confounder::Confounder::HeavyRoute) increases.
 const HEAVY_ROUTE: RouteIndex = RouteIndex::new(0);
-/// Share of the requests that are added to it.
+/// Fraction of all requests that the confounder redirects to it.
 const HEAVY_ROUTE_SHARE: f64 = 0.25;
-/// Share of the failed requests that clients retry once, where a retry is safe.
+/// Probability that a client retries a failed request once, if a retry is safe.
 const RETRY_SHARE: f64 = 0.6;
-/// Time until they retry.
+/// Range of the delay before a retry.
 const RETRY_DELAY: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(300);
-/// A request is forgotten after this multiple of its deadline; no attempt of it is in flight by
-/// then.
+/// A request is removed after this multiple of [`REQUEST_DEADLINE`]. By then, none of its attempts
+/// is in flight.
 const RETENTION_DEADLINES: u32 = 2;
 
-/// How much the clients send at the moment.
+/// The current request rate and mix of routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrafficPattern {
     /// The normal rate and mix.
     Normal,
-    /// More requests on all routes.
+    /// A higher rate on all routes.
     Burst,
-    /// More requests on the costliest route.
+    /// A larger share of requests on the most expensive route.
     HeavyRoute,
 }
 
 /// A request that a client has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientRequest {
-    /// The instance that it was sent to.
+    /// The instance that received it.
     pub(crate) instance: InstanceIndex,
     /// Its route.
     pub(crate) route: RouteIndex,
     /// When it arrived.
     pub(crate) arrived_at: Timestamp,
-    /// It is a client's retry of a request that had failed.
+    /// Whether it is a client's retry of a failed request.
     pub(crate) is_retry: bool,
 }
 
-/// A request and its progress.
+/// A request, and whether it is finished.
 struct OpenRequest {
     request: ClientRequest,
     finished: bool,
 }
 
-/// The effect of an attempt's end on its request.
+/// The state of a request after one of its attempts has ended.
 pub(crate) struct RequestProgress {
     /// The request.
     pub(crate) request: ClientRequest,
-    /// The attempt has given the request its answer.
+    /// Whether this attempt produced the answer to the request.
     pub(crate) answers_request: bool,
-    /// The request has its answer, or its client no longer waits for one.
+    /// Whether the request has been answered, rejected or failed.
     pub(crate) request_finished: bool,
 }
 
 /// A retry that a client will send.
 pub(crate) struct PlannedRetry {
-    /// The instance that it will be sent to.
+    /// The instance that will receive it.
     pub(crate) instance: InstanceIndex,
     /// Its route.
     pub(crate) route: RouteIndex,
-    /// Time until then.
+    /// Delay until the retry is sent.
     pub(crate) after: Duration,
 }
 
 /// All clients of a trial.
 pub(crate) struct Clients {
     random: RandomStream,
-    /// By instance, requests a second.
+    /// Requests per second, by [`InstanceIndex`].
     rates: Vec<f64>,
-    /// Requests of the last few seconds.
+    /// Recent requests; old ones are removed by [`Clients::remove_expired`].
     requests: BTreeMap<RequestId, OpenRequest>,
 }
 
 impl Clients {
-    /// Draws the request rate of each instance, for a fleet with this capacity in cores.
+    /// Draws the request rate of each instance, for a fleet with the given capacity in cores.
     pub(crate) fn new(
         seed: u64,
         instances: usize,
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Time from the trial's start to an instance's first request.
+    /// Draws the time from the trial's start to an instance's first request.
     pub(crate) fn draw_first_arrival(&mut self, instance: InstanceIndex) -> Duration {
         let mean = MICROS_PER_SECOND / self.rates[instance.get()];
         let micros = self.random.exponential(mean);
         Duration::from_micros(micros as u64)
     }
 
-    /// Time from one request of an instance to the next, at least a microsecond.
+    /// Draws the time to an instance's next request, which is at least one microsecond.
     pub(crate) fn draw_next_arrival(
         &mut self,
         instance: InstanceIndex,
@@ -139,7 +139,7 @@
         Duration::from_micros(micros as u64 + 1)
     }
 
-    /// The route of a new request.
+    /// Draws the route of a new request.
     pub(crate) fn draw_route(&mut self, pattern: TrafficPattern) -> RouteIndex {
         let heavy_share = match pattern {
             TrafficPattern::HeavyRoute => HEAVY_ROUTE_SHARE,
@@ -152,7 +152,7 @@
         route_at((draw - heavy_share) / (1.0 - heavy_share))
     }
 
-    /// Records a request that was sent.
+    /// Records a new request.
     pub(crate) fn insert(&mut self, id: RequestId, request: ClientRequest) {
         let open = OpenRequest {
             request,
@@ -161,12 +161,12 @@
         self.requests.insert(id, open);
     }
 
-    /// The route of a request, unless it is forgotten.
+    /// Returns the route of a request, or `None` if the request has been removed.
     pub(crate) fn route_of(&self, id: RequestId) -> Option<RouteIndex> {
         self.requests.get(&id).map(|open| open.request.route)
     }
 
-    /// Records the end of an attempt; `None` if the request is forgotten.
+    /// Records the end of an attempt. Returns `None` if the request has been removed.
     pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
@@ -182,7 +182,8 @@
         })
     }
 
-    /// Ends a request without an answer. Some clients retry, where that is safe.
+    /// Finishes a request without an answer, and returns the retry if the client sends one. Clients
+    /// retry a request at most once, and only where that is safe.
     pub(crate) fn finish_unanswered(&mut self, id: RequestId) -> Option<PlannedRetry> {
         let open = self.requests.get_mut(&id)?;
         open.finished = true;
@@ -199,7 +200,7 @@
         })
     }
 
-    /// Forgets requests that ended long ago.
+    /// Removes requests that have passed their retention time.
     pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         let retention = REQUEST_DEADLINE * RETENTION_DEADLINES;
         self.requests
@@ -207,7 +208,7 @@
     }
 }
 
-/// The route at this position in [0, 1), where each route covers its share of the traffic.
+/// Maps a position in [0, 1) to a route; each route covers an interval of its traffic share.
 fn route_at(position: f64) -> RouteIndex {
     let mut remaining = position;
     let mut route = 0;
--- a/crates/simulation/src/confounder.rs
+++ b/crates/simulation/src/confounder.rs
@@ -1,5 +1,5 @@
-//! Trouble in a trial that the build does not cause. It begins at a drawn time, or just as a stage
-//! begins, and lasts for some seconds.
+//! Confounders: disturbances in a trial that the build does not cause. A confounder starts at a
+//! random time or at the start of a rollout stage, and lasts for several seconds.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use crate::parameters::{MICROS_PER_SECOND, START, TICK};
 use crate::random_stream::{RandomStream, stream};
 
-/// A kind of trouble that the build does not cause.
+/// A kind of disturbance that the build does not cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confounder {
-    /// No trouble.
+    /// No disturbance.
     None,
-    /// Some endpoints are slower by a large factor.
+    /// Some endpoints slow down by a large factor.
     SlowEndpoints,
-    /// Some endpoints are a little slower, as beside noisy neighbours.
+    /// Some endpoints slow down slightly, as with noisy neighbours on a shared host.
     NoisyNeighbours,
-    /// Some endpoints fail requests without delay.
+    /// Some endpoints fail requests immediately.
     FastErrors,
-    /// Clients send more requests.
+    /// Clients send requests at a higher rate.
     Burst,
-    /// Clients send more of the costliest requests.
+    /// Clients send a larger share of requests on the most expensive route.
     HeavyRoute,
-    /// The endpoints of a whole zone do not respond.
+    /// All endpoints of one zone are unresponsive.
     LostZone,
-    /// One instance is not scheduled for a short time again and again, and handles the events of
-    /// that time in one step.
+    /// One instance is repeatedly descheduled for a short time, and then handles the events of that
+    /// time in a single step.
     Stall,
 }
 
 impl Confounder {
-    /// All kinds.
+    /// All kinds of confounders.
     pub const ALL: [Confounder; 8] = [
         Confounder::None,
         Confounder::SlowEndpoints,
@@ -47,7 +47,7 @@
         Confounder::Stall,
     ];
 
-    /// Its name in tables.
+    /// Returns the display name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Confounder::None => "none",
@@ -62,40 +62,41 @@
     }
 }
 
-/// Upper limit of the share of the endpoints that are impaired, as the range that it is drawn from.
+/// Range of the maximum fraction of endpoints that are impaired.
 const AFFECTED_SHARE: Range<f64> = 0.08..0.25;
-/// The limit on the number of impaired endpoints is never lower than this.
+/// Lower bound of the limit on the number of impaired endpoints.
 const MIN_AFFECTED_LIMIT: usize = 3;
-/// In a large fleet at most one endpoint of this number is impaired.
+/// In a large fleet, at most one in this number of endpoints is impaired.
 const ENDPOINTS_PER_AFFECTED: usize = 8;
-/// The zone that [`Confounder::LostZone`] takes.
+/// The zone that becomes unresponsive under [`Confounder::LostZone`].
 const LOST_ZONE: ZoneIndex = ZoneIndex::new(0);
-/// Time from the beginning of one stall to the next.
+/// Time from the start of one stall to the start of the next.
 const STALL_INTERVAL: Duration = Duration::from_secs(3);
-/// Length of a stall.
+/// Duration of a stall.
 const STALL_DURATION: Duration = Duration::from_millis(400);
 
-/// Drawn beginnings, in seconds from the trial's start.
+/// Range of random start times, in seconds from the trial's start.
 const UNIFORM_START_SECONDS: Range<f64> = 2.0..26.0;
-/// When the second stage begins unless votes hold the rollout, in seconds from the trial's start.
+/// Approximate start of the second stage if no votes hold the rollout, in seconds from the trial's
+/// start.
 const SECOND_STAGE_START_SECONDS: f64 = 14.0;
-/// Seconds from there to the beginning of the third stage.
+/// Approximate time from one stage's start to the next, in seconds: stage time plus boot time.
 const STAGE_AND_BOOT_SECONDS: f64 = 6.0;
-/// Length in seconds.
+/// Range of the confounder's duration, in seconds.
 const DURATION_SECONDS: Range<f64> = 6.0..18.0;
 
-/// The confounder of one trial: when it begins and ends, and which endpoints it impairs.
+/// The confounder of one trial: its start and end, and the endpoints that it impairs.
 pub(crate) struct ConfounderSchedule {
     kind: Confounder,
     seed: u64,
     starts_at: Timestamp,
     ends_at: Timestamp,
-    /// The endpoints that it impairs at the moment.
+    /// The endpoints that it currently impairs.
     affected: Vec<EndpointId>,
 }
 
 impl ConfounderSchedule {
-    /// Draws when it begins and how long it lasts.
+    /// Draws the start and the duration of a confounder.
     pub(crate) fn draw(kind: Confounder, seed: u64, random: &mut RandomStream) -> Self {
         let start_seconds = if random.bernoulli(0.5) {
             random.uniform_in(UNIFORM_START_SECONDS)
@@ -113,19 +114,19 @@
         }
     }
 
-    /// Whether there is trouble of this kind now.
+    /// Returns whether a confounder of this kind is active now.
     pub(crate) fn is_active(&self, kind: Confounder, now: Timestamp) -> bool {
         self.kind == kind && now >= self.starts_at && now < self.ends_at
     }
 
-    /// Whether the stalling instance is not scheduled now.
+    /// Returns whether the stalled instance is descheduled now.
     pub(crate) fn stall_in_progress(&self, now: Timestamp) -> bool {
         let into_interval = now.micros_since(self.starts_at) % whole_micros(STALL_INTERVAL);
         self.is_active(Confounder::Stall, now) && into_interval < whole_micros(STALL_DURATION)
     }
 
-    /// Impairs endpoints in the tick in which the trouble begins, and restores them in the tick in
-    /// which it ends.
+    /// Impairs endpoints in the tick in which the confounder starts, and restores them in the tick
+    /// in which it ends.
     pub(crate) fn step(&mut self, now: Timestamp, fleet: &mut Fleet) {
         if now == start_of_tick(self.starts_at) {
             let mut random = RandomStream::new(self.seed, stream::CONFOUNDER);
@@ -178,7 +179,7 @@
     START + Duration::from_micros((seconds * MICROS_PER_SECOND) as u64)
 }
 
-/// Start of the tick that contains this time.
+/// Returns the start of the tick that contains this time.
 fn start_of_tick(at: Timestamp) -> Timestamp {
     let tick = whole_micros(TICK);
     Timestamp::from_micros(at.as_micros() / tick * tick)
--- a/crates/simulation/src/decision_digest.rs
+++ b/crates/simulation/src/decision_digest.rs
@@ -1,7 +1,7 @@
-//! A digest over every decision of a trial, to compare two versions of the policy.
+//! A digest over all decisions of a trial, for comparing two versions of the policy.
 //!
-//! Each decision adds the instance's index, a number for its kind, and its arguments. Both the
-//! values and their order must not change, because digests of two commits are compared.
+//! Each decision adds the instance's index, a code for its kind, and its arguments. Neither the
+//! values nor their order may change, because digests of different commits are compared.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::decisions::InstanceDecisionSink;
 use crate::digest::Digest;
 
-/// Numbers that stand for the kinds of decisions in the digest.
+/// Codes of the kinds of decisions in the digest.
 mod decision_code {
     pub(super) const ATTEMPT: u64 = 1;
     pub(super) const CANCEL: u64 = 2;
@@ -26,14 +26,14 @@
     pub(super) const ROLLBACK_VERDICT: u64 = 9;
 }
 
-/// Adds each decision to the digest and passes it on.
+/// A decision sink that adds each decision to a digest before it forwards the decision.
 pub(crate) struct DigestingDecisionSink<'a, 'env> {
     digest: &'a mut Digest,
     decisions: InstanceDecisionSink<'a, 'env>,
 }
 
 impl<'a, 'env> DigestingDecisionSink<'a, 'env> {
-    /// Adds decisions to this digest before it passes them on.
+    /// Wraps a sink, so that its decisions are added to the digest.
     pub(crate) fn new(digest: &'a mut Digest, decisions: InstanceDecisionSink<'a, 'env>) -> Self {
         DigestingDecisionSink { digest, decisions }
     }
--- a/crates/simulation/src/decisions.rs
+++ b/crates/simulation/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The host's decision sink: carries out the decisions of an instance in the environment.
+//! The host's decision sink, which applies the decisions of an instance to the environment.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::events::{AttemptFinished, HealthCheckFinished, Notification};
 use crate::ids::{EndpointId, InstanceIndex};
 
-/// How long an endpoint takes to respond to a health check.
+/// Time that an endpoint takes to respond to a health check.
 const HEALTH_CHECK_TIME: Duration = Duration::from_millis(3);
-/// Shortest time from the start of an attempt until the host is notified of its end.
+/// Minimum time from the start of an attempt to the notification of its end.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_micros(1);
 
-/// Decisions of one instance in one step.
+/// Receives the decisions of one instance in one step.
 pub(crate) struct InstanceDecisionSink<'a, 'env> {
     environment: &'a RefCell<&'env mut Environment>,
     instance: InstanceIndex,
-    /// When the instance wants its next step, if no event comes before.
+    /// When the instance's next step is due if no event arrives earlier.
     wake_up_at: &'a mut Timestamp,
 }
 
 impl<'a, 'env> InstanceDecisionSink<'a, 'env> {
-    /// A sink for the decisions of this instance.
+    /// Creates a sink for the decisions of an instance.
     pub(crate) fn new(
         environment: &'a RefCell<&'env mut Environment>,
         instance: InstanceIndex,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The instance.
+    /// Returns the instance that makes the decisions.
     pub(crate) fn instance(&self) -> InstanceIndex {
         self.instance
     }
 
-    /// The endpoint with this name.
+    /// Returns the endpoint with this name.
     pub(crate) fn endpoint_id(&self, name: &str) -> EndpointId {
         self.environment.borrow().fleet.id_of(name)
     }
@@ -81,7 +81,7 @@
             .notify(at, self.instance, Notification::AttemptFinished(finished));
     }
 
-    /// Does nothing: a simulated endpoint finishes every request that it has taken.
+    /// Does nothing: a simulated endpoint completes every request that it has admitted.
     fn cancel_attempt(&mut self, _attempt: AttemptId) {}
 
     fn reject_request(&mut self, request: RequestId, _retry_after: Duration) {
@@ -134,7 +134,7 @@
         );
     }
 
-    /// Does nothing: simulated discovery sends changes without being polled.
+    /// Does nothing: simulated discovery pushes changes without being polled.
     fn poll_endpoints(&mut self) {}
 
     fn schedule_wake_up(&mut self, after: Duration) {
--- a/crates/simulation/src/delivery.rs
+++ b/crates/simulation/src/delivery.rs
@@ -1,4 +1,4 @@
-//! The host's event source: delivers the events of one step as calls on the policy of an instance.
+//! The host's event source, which delivers the events of one step as calls on an instance's policy.
 
 use std::cell::RefCell;
 
@@ -14,8 +14,8 @@
 use crate::parameters::{REQUEST_DEADLINE, ROUTES};
 use crate::settings::{hardware_class_name, zone_name};
 
-/// Events of one instance in one step. The environment is borrowed while they are delivered, and by
-/// the decisions afterwards, never by both at the same time.
+/// The events of one instance in one step. The event source borrows the environment during delivery
+/// and the decision sink borrows it afterwards, never both at the same time.
 pub(crate) struct InstanceEventSource<'a, 'env> {
     environment: &'a RefCell<&'env mut Environment>,
     instance: InstanceIndex,
@@ -23,7 +23,7 @@
 }
 
 impl<'a, 'env> InstanceEventSource<'a, 'env> {
-    /// The notifications of this instance, in order.
+    /// Creates the event source of an instance from its notifications, which are in order.
     pub(crate) fn new(
         environment: &'a RefCell<&'env mut Environment>,
         instance: InstanceIndex,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The delivery of the events of one step.
+/// Borrows of everything that the delivery of one step's events needs.
 struct Delivery<'a> {
     environment: &'a mut Environment,
     policy: &'a mut Balancer,
@@ -158,8 +158,8 @@
                 .runs_candidate()
     }
 
-    /// A correct answer within the latency objective counts as served. A wrong one may be reported
-    /// by the client later.
+    /// Counts a correct answer within the latency objective as served. The client may report a
+    /// wrong answer later.
     fn on_request_answered(&mut self, request: ClientRequest, finished: &AttemptFinished) {
         let now = self.environment.now;
         if finished.wrong_answer {
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,6 +1,6 @@
-//! A digest over a sequence of numbers, to compare two runs for equality.
+//! A digest over a sequence of numbers, for comparing two runs.
 
-/// FNV-1a with 64 bits over the little-endian bytes of each number. Not cryptographic.
+/// A 64-bit FNV-1a hash over the little-endian bytes of each number. Not cryptographically secure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u64);
 
@@ -8,14 +8,14 @@
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-    /// Appends one number to the sequence.
+    /// Adds one number to the digest.
     pub fn add(&mut self, value: u64) {
         for byte in value.to_le_bytes() {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Self::PRIME);
         }
     }
 
-    /// The digest of all numbers added so far.
+    /// Returns the digest of all numbers added so far.
     pub fn value(self) -> u64 {
         self.0
     }
