--- a/crates/simulation/src/endpoint.rs
+++ b/crates/simulation/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One simulated endpoint: cores, a queue, a warm-up after its start, and impairments.
+//! A simulated endpoint: cores, a bounded queue, warm-up after the start, and impairments.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,19 +12,19 @@
     CANDIDATE_BUILD, HARDWARE, HardwareModel, QUEUE_LENGTH, WARM_UP_START, WARM_UP_TIME,
 };
 
-/// An impairment of an endpoint that its build does not cause.
+/// A degradation of an endpoint that its build does not cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Impairment {
-    /// The time for a request is multiplied by this factor.
+    /// The service time of each request is multiplied by this factor.
     pub(crate) slowdown: f64,
-    /// Share of the requests that fail.
+    /// Probability that a request fails.
     pub(crate) failure_probability: f64,
-    /// The endpoint does not respond, not even to health checks.
+    /// Whether the endpoint responds to nothing, including health checks.
     pub(crate) unresponsive: bool,
 }
 
 impl Impairment {
-    /// A healthy endpoint.
+    /// No impairment.
     pub(crate) const NONE: Impairment = Impairment {
         slowdown: 1.0,
         failure_probability: 0.0,
@@ -32,31 +32,31 @@
     };
 }
 
-/// What a request costs.
+/// The cost of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RequestCost {
-    /// Microseconds of a warm core of the faster hardware class, under the baseline.
+    /// Cost under the baseline.
     pub(crate) core_micros: CoreMicros,
-    /// Multiple of it under the build that the endpoint runs.
+    /// Cost under the build that the endpoint runs, as a multiple of that.
     pub(crate) build_factor: f64,
 }
 
-/// Microseconds of a warm core of the faster hardware class, not necessarily whole.
+/// Microseconds on a warm core of the faster hardware class, possibly with a fraction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CoreMicros(pub(crate) f64);
 
 /// How an endpoint responds to a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// Its queue is full.
+    /// The endpoint rejects it because its queue is full.
     Rejected,
-    /// It will never respond.
+    /// The endpoint never responds.
     Unanswered,
-    /// It executes the request.
+    /// The endpoint executes it.
     Served {
         /// When the execution ends.
         finished_at: Timestamp,
-        /// Requests in flight there, including this one.
+        /// Number of requests in flight at the endpoint, including this one.
         in_flight: usize,
     },
 }
@@ -64,34 +64,35 @@
 /// Zone and hardware of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Placement {
-    /// Its zone.
+    /// Availability zone.
     pub(crate) zone: ZoneIndex,
     /// Index into [`HARDWARE`].
     pub(crate) hardware_class: HardwareClassIndex,
 }
 
-/// One simulated endpoint.
+/// A simulated endpoint.
 pub(crate) struct SimulatedEndpoint {
-    /// Its name in the endpoint list.
+    /// Name in the endpoint list.
     pub(crate) name: String,
-    /// Its zone and hardware.
+    /// Zone and hardware.
     pub(crate) placement: Placement,
-    /// The build that it runs.
+    /// The build that the endpoint runs.
     pub(crate) build: BuildNumber,
-    /// When it started, possibly in the future; `None` if it started long before the trial.
+    /// When the endpoint starts, which may be in the future; `None` if it started long before the
+    /// trial.
     pub(crate) started_at: Option<Timestamp>,
-    /// Its state in the endpoint list, once it is listed.
+    /// State in the endpoint list, once the endpoint is listed.
     pub(crate) state: EndpointState,
-    /// Its current impairment.
+    /// Current impairment.
     pub(crate) impairment: Impairment,
     /// When each core becomes free.
     cores_free_at: Vec<Timestamp>,
-    /// When the requests in flight will be finished, the earliest first.
+    /// Completion times of the requests in flight, earliest first.
     finish_times: VecDeque<Timestamp>,
 }
 
 impl SimulatedEndpoint {
-    /// An idle, healthy endpoint.
+    /// Creates an endpoint without requests or impairment.
     pub(crate) fn new(
         name: String,
         placement: Placement,
@@ -111,27 +112,28 @@
         }
     }
 
-    /// Its hardware.
+    /// Returns the endpoint's hardware model.
     pub(crate) fn hardware(&self) -> &'static HardwareModel {
         &HARDWARE[self.placement.hardware_class.get()]
     }
 
-    /// Whether it runs the build that is rolled out.
+    /// Returns whether the endpoint runs the build that is being rolled out.
     pub(crate) fn runs_candidate(&self) -> bool {
         self.build == CANDIDATE_BUILD
     }
 
-    /// Whether it has been removed.
+    /// Returns whether the endpoint has been removed.
     pub(crate) fn is_removed(&self) -> bool {
         self.state == EndpointState::Removed
     }
 
-    /// Time since its start.
+    /// Returns the time since the endpoint's start. An endpoint without a start time counts as
+    /// running since the clock's origin.
     pub(crate) fn uptime(&self, now: Timestamp) -> Duration {
         now - self.started_at.unwrap_or(Timestamp::ZERO)
     }
 
-    /// Requests in flight there.
+    /// Returns the number of requests in flight, after removal of the completed ones.
     pub(crate) fn in_flight(&mut self, now: Timestamp) -> usize {
         while self.finish_times.front().is_some_and(|at| *at <= now) {
             self.finish_times.pop_front();
@@ -139,7 +141,7 @@
         self.finish_times.len()
     }
 
-    /// Takes a request or rejects it.
+    /// Admits a request and computes its completion time, or rejects it if the queue is full.
     pub(crate) fn admit(&mut self, cost: RequestCost, now: Timestamp) -> Admission {
         if self.impairment.unresponsive {
             return Admission::Unanswered;
@@ -157,7 +159,7 @@
         }
     }
 
-    /// How long a core executes a request.
+    /// Returns how long a core takes to execute a request.
     fn service_time(&self, cost: RequestCost, now: Timestamp) -> Duration {
         let slowdown = cost.build_factor * self.impairment.slowdown / self.warm_up_fraction(now)
             * self.hardware().cost_factor;
@@ -165,7 +167,8 @@
         Duration::from_micros((core_micros * slowdown) as u64)
     }
 
-    /// Share of its full capacity that it has now.
+    /// Returns the fraction of the full capacity that is available, which grows linearly during
+    /// warm-up.
     fn warm_up_fraction(&self, now: Timestamp) -> f64 {
         let Some(started_at) = self.started_at else {
             return 1.0;
@@ -174,7 +177,7 @@
         (WARM_UP_START + (1.0 - WARM_UP_START) * progress).min(1.0)
     }
 
-    /// Puts a request on the core that becomes free first, and returns when it is finished.
+    /// Assigns a request to the core that becomes free first, and returns its completion time.
     fn occupy_core(&mut self, now: Timestamp, service_time: Duration) -> Timestamp {
         let Some(free_at) = self.cores_free_at.iter_mut().min() else {
             return now + service_time;
--- a/crates/simulation/src/environment.rs
+++ b/crates/simulation/src/environment.rs
@@ -1,5 +1,5 @@
-//! Everything around the instances, made of the parts in the other modules, and its changes from
-//! tick to tick.
+//! The environment of the instances, composed of the parts in the other modules, and its changes in
+//! each tick.
 
 use std::time::Duration;
 
@@ -20,39 +20,41 @@
 use crate::random_stream::{RandomStream, stream};
 use crate::rollout::{PlatformContext, Rollout};
 
-/// Number of idempotency keys that the clients use, if they use any; several requests share a key.
+/// Number of distinct idempotency keys that the clients use, if they use any. Several requests
+/// share a key.
 const IDEMPOTENCY_KEYS: u64 = 97;
 
-/// Time between two sweeps that forget old requests.
+/// Interval at which old requests are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Everything around the instances.
+/// The state of a trial outside the instances.
 pub(crate) struct Environment {
-    /// What the trial runs.
+    /// Configuration of the trial.
     pub(crate) case: TrialCase,
-    /// The current tick.
+    /// Time of the current tick.
     pub(crate) now: Timestamp,
-    /// The endpoints.
+    /// The endpoints and their slots.
     pub(crate) fleet: Fleet,
-    /// Future events and messages.
+    /// The event queue and the message delays.
     pub(crate) network: Network,
     /// The clients and their requests.
     pub(crate) clients: Clients,
-    /// The ends of attempts.
+    /// Draws the costs and outcomes of attempts.
     pub(crate) attempts: AttemptModel,
-    /// The platform.
+    /// The rollout of the candidate by the platform.
     pub(crate) rollout: Rollout,
-    /// Trouble that the build does not cause.
+    /// The disturbance that the build does not cause.
     pub(crate) confounder: ConfounderSchedule,
-    /// Weight of the requests that were offered and served.
+    /// Priority weight of the requests offered and served.
     pub(crate) served_weight: ServedWeightBySecond,
-    /// The test behind the first rollback verdict of any instance.
+    /// The statistical test behind the first rollback verdict of any instance.
     pub(crate) first_verdict_test: Option<EvidenceTest>,
 }
 
 impl Environment {
-    /// The environment at a trial's start. The order of the draws is part of the model: the fleet,
-    /// the clients' rates, the times of the confounder.
+    /// Creates the environment at the start of a trial. The order of the draws is part of the
+    /// model, because they share a stream: the fleet, the clients' rates, then the times of the
+    /// confounder.
     pub(crate) fn new(case: TrialCase) -> Environment {
         let size = case.size;
         let mut random = RandomStream::new(case.seed, stream::SET_UP);
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Schedules the notifications that an instance gets at the trial's start, and its first
-    /// request.
+    /// Schedules the notifications that an instance receives at the start of the trial, and its
+    /// first request.
     pub(crate) fn schedule_first_notifications(&mut self, instance: InstanceIndex) {
         for endpoint in self.fleet.endpoint_ids() {
             self.network
@@ -97,7 +99,7 @@
             .notify(first_arrival, instance, Notification::RequestArrived);
     }
 
-    /// The confounder and the platform act in this tick.
+    /// Advances the confounder and the platform by one tick.
     pub(crate) fn step_confounder_and_platform(&mut self) {
         self.confounder.step(self.now, &mut self.fleet);
         self.rollout.step(&mut PlatformContext {
@@ -107,8 +109,8 @@
         });
     }
 
-    /// Takes the next event of an instance whose time has come. Earlier events of the fleet take
-    /// effect first.
+    /// Removes the next due event of an instance from the queue and returns it. Fleet events that
+    /// precede it are applied.
     pub(crate) fn next_instance_event(&mut self) -> Option<InstanceEvent> {
         while let Some(event) = self.network.queue.pop_due(self.now) {
             match event {
@@ -120,7 +122,7 @@
         None
     }
 
-    /// Ends the tick.
+    /// Removes old requests at regular intervals, and advances the clock by one tick.
     pub(crate) fn finish_tick(&mut self) {
         let interval = whole_micros(EXPIRY_INTERVAL);
         if self.now.as_micros().is_multiple_of(interval) {
@@ -129,7 +131,7 @@
         self.now = self.now + TICK;
     }
 
-    /// How much the clients send at the moment.
+    /// Returns the current request rate and mix of routes.
     pub(crate) fn traffic_pattern(&self) -> TrafficPattern {
         if self.confounder.is_active(Confounder::Burst, self.now) {
             TrafficPattern::Burst
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Takes a request from a client and returns its id.
+    /// Records a request from a client and returns its id. Retries do not add to the offered
+    /// weight.
     pub(crate) fn open_request(&mut self, request: ClientRequest) -> RequestId {
         let id = self.network.queue.next_request_id();
         if !request.is_retry {
@@ -151,7 +154,7 @@
         id
     }
 
-    /// The idempotency key of a request, where the settings bind keys to a build.
+    /// Returns the idempotency key of a request, if the settings bind keys to a build.
     pub(crate) fn idempotency_key(&self, request: RequestId) -> Option<String> {
         match self.case.profile {
             SettingsProfile::Standard => None,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Ends a request without an answer; its client may retry.
+    /// Finishes a request without an answer; the client may retry.
     pub(crate) fn finish_unanswered_request(&mut self, request: RequestId) {
         let Some(retry) = self.clients.finish_unanswered(request) else {
             return;
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -1,5 +1,5 @@
-//! Future events in the order of their times; events of one time are in the order in which they
-//! were scheduled.
+//! The event queue. Events are ordered by time, and events at the same time by the order in which
+//! they were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -12,20 +12,21 @@
 use crate::fleet::Replacement;
 use crate::ids::{EndpointId, InstanceIndex};
 
-/// Request ids begin here, above the sequence numbers of all events, so that a mix-up would show.
+/// The first request id. It is above the sequence numbers of all events, so that the two cannot be
+/// mistaken for each other.
 const FIRST_REQUEST_ID: u64 = 1 << 40;
 
-/// Something that happens in the trial.
+/// A scheduled event of a trial.
 pub(crate) enum Event {
-    /// A new endpoint runs and takes over its slot.
+    /// A new endpoint has started and takes over its slot.
     ReplacementReady(Replacement),
-    /// An endpoint that was draining is removed.
+    /// A draining endpoint is removed.
     EndpointRemoved(EndpointId),
-    /// An instance is notified.
+    /// An instance receives a notification.
     Instance(InstanceEvent),
 }
 
-/// A notification of one instance, which handles it in its next step.
+/// A notification for one instance, which handles it in its next step.
 pub(crate) struct InstanceEvent {
     /// The instance.
     pub(crate) instance: InstanceIndex,
@@ -33,17 +34,17 @@
     pub(crate) notification: Notification,
 }
 
-/// A notification of an instance.
+/// A notification for an instance.
 pub(crate) enum Notification {
     /// A client sends a new request.
     RequestArrived,
-    /// A client retries a request that had failed.
+    /// A client retries a failed request.
     ClientRetry(ClientRetry),
     /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// Discovery sends an endpoint's current entry.
+    /// Service discovery sends the current entry of an endpoint.
     EndpointListed(EndpointId),
-    /// The platform announces the rollout's state.
+    /// The platform announces the state of the rollout.
     RolloutAnnounced(RolloutAnnouncement),
     /// The platform responds to a vote.
     VoteAnswered(VoteResult),
@@ -53,45 +54,45 @@
     HealthCheckFinished(HealthCheckFinished),
 }
 
-/// A client's retry of a request that had failed.
+/// A client's retry of a failed request.
 pub(crate) struct ClientRetry {
-    /// Its route.
+    /// Route of the request.
     pub(crate) route: RouteIndex,
 }
 
 /// The end of an attempt.
 pub(crate) struct AttemptFinished {
-    /// The attempt.
+    /// The attempt that has ended.
     pub(crate) attempt: AttemptId,
-    /// The endpoint.
+    /// The endpoint that it was sent to.
     pub(crate) endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub(crate) outcome: AttemptOutcome,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Timestamp,
-    /// It is a complete answer, but a wrong one.
+    /// Whether an answer to this attempt is complete but wrong.
     pub(crate) wrong_answer: bool,
-    /// Requests in flight that the endpoint reports.
+    /// Number of requests in flight that the endpoint reports.
     pub(crate) reported_in_flight: usize,
 }
 
-/// The rollout's state at the time of its announcement.
+/// The state of the rollout at the time of its announcement.
 #[derive(Clone, Copy)]
 pub(crate) struct RolloutAnnouncement {
     /// The newest build.
     pub(crate) build: BuildNumber,
-    /// Stage of its evaluation.
+    /// Current stage of its evaluation.
     pub(crate) stage: StageIndex,
-    /// Phase of its rollout.
+    /// Current phase of its rollout.
     pub(crate) phase: RolloutPhase,
-    /// Share of the requests that may be attempted at it.
+    /// Maximum share of the requests that may be attempted at this build.
     pub(crate) traffic_cap: f64,
-    /// When stage and phase began.
+    /// When the current stage and phase began.
     pub(crate) since: Timestamp,
 }
 
 impl RolloutAnnouncement {
-    /// The status that the policy gets if it is notified now.
+    /// Returns the status for a policy that is notified at this time.
     pub(crate) fn status(&self, now: Timestamp) -> RolloutStatus {
         RolloutStatus {
             build: self.build,
@@ -113,13 +114,13 @@
 
 /// The end of a health check.
 pub(crate) struct HealthCheckFinished {
-    /// The endpoint.
+    /// The endpoint that was checked.
     pub(crate) endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the health check.
     pub(crate) outcome: AttemptOutcome,
 }
 
-/// An event, its time and its position among those of the same time.
+/// An event, its time, and the sequence number that orders events at the same time.
 struct Scheduled {
     at: Timestamp,
     sequence: u64,
@@ -147,13 +148,13 @@
 }
 
 impl Ord for Scheduled {
-    /// The earliest event is the greatest, because the heap pops the greatest first.
+    /// Reverses the order, so that the max-heap pops the earliest event first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.order().cmp(&self.order())
     }
 }
 
-/// The future events.
+/// A priority queue of future events.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
@@ -171,7 +172,7 @@
         });
     }
 
-    /// Schedules a notification of an instance.
+    /// Schedules a notification for an instance.
     pub(crate) fn notify(
         &mut self,
         at: Timestamp,
@@ -187,7 +188,7 @@
         );
     }
 
-    /// Takes the next event whose time has come.
+    /// Removes and returns the next event that is due.
     pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<Event> {
         if self.heap.peek()?.at > now {
             return None;
@@ -195,8 +196,8 @@
         self.heap.pop().map(|scheduled| scheduled.event)
     }
 
-    /// A new request id. Requests and events share one sequence: request ids are part of a trial's
-    /// digest, so a sequence of their own would change the digests of all trials.
+    /// Returns a new request id. Requests and events share one sequence, because request ids are
+    /// part of a trial's digest and a separate sequence would change the digests of all trials.
     pub(crate) fn next_request_id(&mut self) -> RequestId {
         let id = RequestId::new(FIRST_REQUEST_ID + self.last_sequence);
         self.last_sequence += 1;
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: which endpoint serves in which slot, and how one replaces another.
+//! The fleet: the assignment of endpoints to slots, and the replacement of endpoints.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +9,33 @@
 use crate::parameters::{BASELINE_BUILD, BOOT_TIME, ZONES};
 use crate::random_stream::RandomStream;
 
-/// A new endpoint that takes over a slot once it runs.
+/// A new endpoint that takes over a slot once it has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Replacement {
-    /// The slot.
+    /// The slot that the endpoint takes over.
     pub(crate) slot: SlotIndex,
     /// The new endpoint.
     pub(crate) endpoint: EndpointId,
-    /// When it runs.
+    /// When the endpoint has started.
     pub(crate) ready_at: Timestamp,
 }
 
 /// All endpoints of a trial, including removed ones.
 pub(crate) struct Fleet {
-    /// By [`EndpointId`].
+    /// Indexed by [`EndpointId`].
     endpoints: Vec<SimulatedEndpoint>,
     ids_by_name: BTreeMap<String, EndpointId>,
-    /// By [`SlotIndex`], the endpoint that serves there. There are as many slots as the trial has
-    /// endpoints at its start.
+    /// The endpoint that serves in each slot, indexed by [`SlotIndex`]. There are as many slots as
+    /// the trial has endpoints at its start.
     slots: Vec<EndpointId>,
-    /// The order in which the rollout takes the slots.
+    /// The order in which the rollout replaces the endpoints of the slots.
     replacement_order: Vec<SlotIndex>,
-    /// Number of ordered replacements that do not run yet.
+    /// Number of replacements that have been ordered but have not started yet.
     pending_replacements: usize,
 }
 
 impl Fleet {
-    /// A fleet that runs the baseline everywhere, with a drawn order of replacement.
+    /// Creates a fleet that runs only the baseline, and draws the order of replacement.
     pub(crate) fn new(size: usize, random: &mut RandomStream) -> Fleet {
         let endpoints: Vec<_> = (0..size)
             .map(EndpointId::new)
@@ -59,42 +59,42 @@
         }
     }
 
-    /// An endpoint.
+    /// Returns the endpoint with this id.
     pub(crate) fn endpoint(&self, id: EndpointId) -> &SimulatedEndpoint {
         &self.endpoints[id.get()]
     }
 
-    /// An endpoint, to be changed.
+    /// Returns the endpoint with this id for modification.
     pub(crate) fn endpoint_mut(&mut self, id: EndpointId) -> &mut SimulatedEndpoint {
         &mut self.endpoints[id.get()]
     }
 
-    /// The endpoint with this name, which must have been in the endpoint list.
+    /// Returns the endpoint with this name. The name must have been in the endpoint list.
     pub(crate) fn id_of(&self, name: &str) -> EndpointId {
         self.ids_by_name[name]
     }
 
-    /// By slot, the endpoint that serves there.
+    /// Returns the endpoint that serves in each slot, indexed by [`SlotIndex`].
     pub(crate) fn slots(&self) -> &[EndpointId] {
         &self.slots
     }
 
-    /// The slots in the order in which the rollout takes them.
+    /// Returns the slots in the order in which the rollout replaces their endpoints.
     pub(crate) fn replacement_order(&self) -> &[SlotIndex] {
         &self.replacement_order
     }
 
-    /// Whether replacements have been ordered that do not run yet.
+    /// Returns whether any ordered replacement has not started yet.
     pub(crate) fn has_pending_replacements(&self) -> bool {
         self.pending_replacements > 0
     }
 
-    /// All endpoints.
+    /// Returns the ids of all endpoints, including removed ones.
     pub(crate) fn endpoint_ids(&self) -> impl Iterator<Item = EndpointId> + use<> {
         (0..self.endpoints.len()).map(EndpointId::new)
     }
 
-    /// Capacity of the warm fleet, in cores of the faster hardware class.
+    /// Returns the capacity of the warmed-up fleet, in cores of the faster hardware class.
     pub(crate) fn capacity(&self) -> f64 {
         self.endpoints
             .iter()
@@ -105,12 +105,12 @@
             .sum()
     }
 
-    /// The build that serves in a slot.
+    /// Returns the build that serves in a slot.
     pub(crate) fn build_in(&self, slot: SlotIndex) -> BuildNumber {
         self.endpoint_in(slot).build
     }
 
-    /// Share of the slots in which the candidate serves.
+    /// Returns the fraction of the slots in which the candidate serves.
     pub(crate) fn candidate_share(&self) -> f64 {
         let candidates = self
             .slots
@@ -120,7 +120,7 @@
         candidates as f64 / self.slots.len() as f64
     }
 
-    /// Orders a new endpoint like the one in the slot, but of this build.
+    /// Orders a new endpoint with the placement of the one in the slot, which runs this build.
     pub(crate) fn order_replacement(
         &mut self,
         slot: SlotIndex,
@@ -146,7 +146,8 @@
         }
     }
 
-    /// A replacement runs and takes over its slot; returns the endpoint that drains from now on.
+    /// Puts a started replacement into its slot and returns the replaced endpoint, which starts
+    /// draining.
     pub(crate) fn complete_replacement(&mut self, replacement: Replacement) -> EndpointId {
         let slot = &mut self.slots[replacement.slot.get()];
         let replaced = std::mem::replace(slot, replacement.endpoint);
@@ -160,8 +161,8 @@
     }
 }
 
-/// An endpoint that has run the baseline since long before the trial. Three in five are of the
-/// first hardware class.
+/// Creates an endpoint that has run the baseline since long before the trial. Three in five belong
+/// to the first hardware class.
 fn initial_endpoint(id: EndpointId) -> SimulatedEndpoint {
     let placement = Placement {
         zone: ZoneIndex::new(id.get() % ZONES),
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -1,5 +1,5 @@
-//! Indexes of the model, each with a type of its own so that they cannot be mixed up. Routes,
-//! builds, stages and hardware classes have the policy's types.
+//! Index types of the model. Each is a distinct type, so that the compiler rejects mix-ups. Routes,
+//! builds, stages and hardware classes use the policy's types.
 
 /// Declares an index into one of the model's tables.
 macro_rules! index_type {
@@ -9,12 +9,12 @@
         pub(crate) struct $name(usize);
 
         impl $name {
-            /// Wraps the bare position.
+            /// Creates an index from a position.
             pub(crate) const fn new(position: usize) -> Self {
                 Self(position)
             }
 
-            /// The bare position, for tables and digests.
+            /// Returns the position, for table look-ups and digests.
             pub(crate) const fn get(self) -> usize {
                 self.0
             }
@@ -23,16 +23,16 @@
 }
 
 index_type!(
-    /// Position of a proxy instance among those of the trial.
+    /// Position of a proxy instance among the instances of the trial.
     InstanceIndex
 );
 index_type!(
-    /// Position of an endpoint among all endpoints that the trial has ever had. Unlike the policy's
-    /// `EndpointIndex` it is never reused.
+    /// Position of an endpoint among all endpoints of the trial, including removed ones. Unlike the
+    /// policy's `EndpointIndex`, it is never reused.
     EndpointId
 );
 index_type!(
-    /// Position of a slot of the fleet, in which one endpoint serves at a time.
+    /// Position of a slot of the fleet. One endpoint serves in a slot at a time.
     SlotIndex
 );
 index_type!(
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Messages to the instances, and how long each takes.
+//! Messages to the instances and their delays.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::ids::{EndpointId, InstanceIndex};
 use crate::random_stream::{RandomStream, stream};
 
-/// Time from a change of an endpoint until an instance is notified of it.
+/// Range of the delay from a change of an endpoint to an instance's notification.
 const DISCOVERY_DELAY: Range<Duration> = Duration::from_millis(300)..Duration::from_millis(900);
-/// Time from a change of the rollout until an instance is notified of it.
+/// Range of the delay from a change of the rollout to an instance's notification.
 const ANNOUNCEMENT_DELAY: Range<Duration> = Duration::from_millis(80)..Duration::from_millis(350);
-/// Time from a vote to the platform's response.
+/// Range of the delay from a vote to the platform's response.
 const VOTE_DELAY: Range<Duration> = Duration::from_millis(30)..Duration::from_millis(180);
-/// Time from a wrong answer until its client reports it.
+/// Range of the delay from a wrong answer to the client's report.
 const FLAG_DELAY: Range<Duration> = Duration::from_millis(700)..Duration::from_millis(2_500);
-/// Time of one way between an instance and an endpoint.
+/// Range of the one-way delay between an instance and an endpoint.
 const HOP_DELAY: Range<Duration> = Duration::from_micros(300)..Duration::from_micros(1_200);
-/// Share of the responses that carry a load report.
+/// Probability that a response carries a load report.
 const LOAD_REPORT_SHARE: f64 = 0.8;
 
-/// The queue of future events, and the draws of message delays.
+/// The event queue, and the random message delays.
 pub(crate) struct Network {
     /// Future events.
     pub(crate) queue: EventQueue,
@@ -31,7 +31,7 @@
 }
 
 impl Network {
-    /// A network without messages in flight.
+    /// Creates a network without messages in flight.
     pub(crate) fn new(seed: u64, instances: usize) -> Network {
         Network {
             queue: EventQueue::default(),
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Notifies every instance of an endpoint, each after its own delay. An instance gets the
-    /// endpoint's entry as of the end of the delay.
+    /// Notifies every instance of a change of an endpoint, each after its own delay. An instance
+    /// receives the endpoint's entry as it is at the end of the delay.
     pub(crate) fn list_endpoint(&mut self, now: Timestamp, endpoint: EndpointId) {
         for instance in (0..self.instances).map(InstanceIndex::new) {
             let at = now + self.delays.uniform_duration(DISCOVERY_DELAY);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notifies every instance of the rollout's state, each after its own delay.
+    /// Notifies every instance of the state of the rollout, each after its own delay.
     pub(crate) fn announce_rollout(&mut self, now: Timestamp, announcement: RolloutAnnouncement) {
         for instance in (0..self.instances).map(InstanceIndex::new) {
             let at = now + self.delays.uniform_duration(ANNOUNCEMENT_DELAY);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Responds to an instance's vote.
+    /// Sends the platform's response to an instance's vote.
     pub(crate) fn answer_vote(
         &mut self,
         now: Timestamp,
@@ -71,17 +71,17 @@
             .notify(at, instance, Notification::VoteAnswered(result));
     }
 
-    /// How long a client takes to report a wrong answer.
+    /// Draws the time that a client takes to report a wrong answer.
     pub(crate) fn draw_flag_delay(&mut self) -> Duration {
         self.delays.uniform_duration(FLAG_DELAY)
     }
 
-    /// How long one way between an instance and an endpoint takes.
+    /// Draws the one-way delay between an instance and an endpoint.
     pub(crate) fn draw_hop_delay(&mut self) -> Duration {
         self.delays.uniform_duration(HOP_DELAY)
     }
 
-    /// Whether a response carries a load report.
+    /// Draws whether a response carries a load report.
     pub(crate) fn draw_load_report_arrives(&mut self) -> bool {
         self.delays.bernoulli(LOAD_REPORT_SHARE)
     }
