--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -7,38 +7,38 @@
 use crate::digest::Digest;
 use crate::parameters::START;
 
-/// Weight of the requests that arrived in one second.
+/// Priority weight of the requests that arrived within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServedWeight {
-    /// Weight of the requests answered correctly within their latency objective.
+    /// Weight of the requests that were answered correctly within their latency objective.
     pub served: f64,
-    /// Weight of all requests; retries of clients are not counted again.
+    /// Weight of all requests, without the retries of clients.
     pub offered: f64,
 }
 
-/// Weight served and offered, by the second in which a request arrived, counted from the trial's
+/// Served and offered weight by the second in which the request arrived, counted from the trial's
 /// start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ServedWeightBySecond(Vec<ServedWeight>);
 
 impl ServedWeightBySecond {
-    /// No requests yet, in a trial of this length.
+    /// Creates empty counters for a trial of this duration.
     pub(crate) fn new(duration: Duration) -> Self {
         let seconds = duration.as_secs() as usize + 1;
         ServedWeightBySecond(vec![ServedWeight::default(); seconds])
     }
 
-    /// Counts a request that arrived.
+    /// Adds the weight of a request to the second in which it arrived.
     pub(crate) fn add_offered(&mut self, arrived_at: Timestamp, weight: f64) {
         self.second_of(arrived_at).offered += weight;
     }
 
-    /// Counts its answer.
+    /// Adds the weight of a served request to the second in which the request arrived.
     pub(crate) fn add_served(&mut self, arrived_at: Timestamp, weight: f64) {
         self.second_of(arrived_at).served += weight;
     }
 
-    /// The seconds in order.
+    /// Returns the weights by second, in order.
     pub(crate) fn into_seconds(self) -> Vec<ServedWeight> {
         self.0
     }
@@ -53,25 +53,26 @@
 /// The result of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrialOutcome {
-    /// Time from the offer of the build to its rollback.
+    /// Time from the offer of the build to its rollback; `None` if it was not rolled back.
     pub rolled_back_after: Option<Duration>,
-    /// Time from the offer of the build to its release.
+    /// Time from the offer of the build to its release; `None` if it was not released.
     pub released_after: Option<Duration>,
-    /// Weight served and offered, by the second in which a request arrived, from the trial's start.
+    /// Served and offered weight by the second in which the request arrived, counted from the
+    /// trial's start.
     pub served_by_second: Vec<ServedWeight>,
-    /// The test behind the first rollback verdict of any instance.
+    /// The statistical test behind the first rollback verdict of any instance.
     pub first_verdict_test: Option<EvidenceTest>,
-    /// How long votes have held a stage.
+    /// Total time for which votes held a stage.
     pub held_time: Duration,
-    /// Steps of all instances together.
+    /// Number of policy steps of all instances together.
     pub steps: u64,
-    /// Digest over every decision of every instance, in order.
+    /// Digest over all decisions of all instances, in order.
     pub digest: Digest,
 }
 
 impl TrialOutcome {
-    /// Served weight as a share of the offered weight, from this second on; 0 if nothing was
-    /// offered.
+    /// Returns the served weight as a fraction of the offered weight from this second on, or 0 if
+    /// nothing was offered.
     pub fn served_share(&self, from_second: usize) -> f64 {
         let sum = self.served_by_second.iter().skip(from_second).fold(
             ServedWeight::default(),
--- a/crates/simulation/src/parameters.rs
+++ b/crates/simulation/src/parameters.rs
@@ -1,36 +1,36 @@
-//! The model's constants: the clock, the schedule of a rollout, the routes and the hardware.
+//! Constants of the model: the clock, the rollout schedule, the routes and the hardware.
 
 use std::time::Duration;
 
 use tidescale_policy::settings::{Idempotency, KeyScope};
 use tidescale_policy::types::{BuildNumber, StageIndex, Timestamp};
 
-/// Step of virtual time. Events of one tick reach an instance together, like those of one
+/// Step of virtual time. An instance receives the events of a tick together, as it would in one
 /// event-loop iteration.
 pub(crate) const TICK: Duration = Duration::from_millis(10);
 
-/// Microseconds in a second, for formulas.
+/// Number of microseconds in a second, for floating-point formulas.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// When a trial begins; far from the origin, so that there are times before it.
+/// Start of a trial. It is far from the clock's origin, so that earlier times can be represented.
 pub(crate) const START: Timestamp = Timestamp::from_micros(1_000_000_000_000);
 
-/// The build that serves when a trial begins.
+/// The build that serves at the start of a trial.
 pub(crate) const BASELINE_BUILD: BuildNumber = BuildNumber::new(1);
-/// The build that is rolled out.
+/// The build that is rolled out during the trial.
 pub(crate) const CANDIDATE_BUILD: BuildNumber = BuildNumber::new(2);
 
-/// Time from the start until the candidate is offered; until then the instances learn their
-/// baselines.
+/// Time from the start of a trial until the candidate is offered. During this time the instances
+/// learn the baseline's statistics.
 const OFFERED_AFTER: Duration = Duration::from_secs(8);
-/// Length of a stage, without the time for which votes hold it.
+/// Duration of a stage, excluding the time for which votes hold it.
 pub(crate) const STAGE_TIME: Duration = Duration::from_secs(4);
 
 /// One stage of a rollout.
 pub(crate) struct StageModel {
-    /// Share of the requests that may be attempted at the candidate.
+    /// Maximum share of the requests that may be attempted at the candidate.
     pub(crate) traffic_cap: f64,
-    /// Share of the endpoints that run the candidate; at most the cap.
+    /// Share of the endpoints that run the candidate; at most `traffic_cap`.
     pub(crate) endpoint_share: f64,
 }
 
@@ -56,47 +56,47 @@
 /// The last stage.
 pub(crate) const LAST_STAGE: StageIndex = StageIndex::new(STAGES.len() as u32 - 1);
 
-/// Time from ordering a new endpoint until it runs.
+/// Time from the order of a new endpoint until it has started.
 pub(crate) const BOOT_TIME: Duration = Duration::from_millis(1_500);
-/// Time that a replaced endpoint has to finish its requests.
+/// Time that a replaced endpoint has to complete its requests before it is removed.
 pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(1_500);
-/// Longest time between two announcements of the rollout's state.
+/// Maximum time between two announcements of the rollout's state.
 pub(crate) const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a vote counts.
+/// Time after which a vote expires.
 pub(crate) const VOTE_LIFETIME: Duration = Duration::from_secs(6);
-/// Number of instances for each rollback vote that is needed. With more votes needed, evidence that
-/// few instances have would not suffice.
+/// One rollback vote is needed for each group of this many instances. If more votes were needed,
+/// evidence that only a few instances observe would not trigger a rollback.
 pub(crate) const INSTANCES_PER_ROLLBACK_VOTE: usize = 30;
-/// Share of the instances that have to vote to hold a stage.
+/// Fraction of the instances that must vote to hold a stage.
 pub(crate) const HOLD_VOTE_SHARE: f64 = 0.3;
 
-/// Share of its capacity that an endpoint has right after its start.
+/// Fraction of its capacity that an endpoint has immediately after its start.
 pub(crate) const WARM_UP_START: f64 = 0.4;
 /// Time from an endpoint's start until it has its full capacity.
 pub(crate) const WARM_UP_TIME: Duration = Duration::from_secs(3);
-/// Requests that an endpoint queues beyond those on its cores before it rejects more.
+/// Maximum number of requests that an endpoint queues, in addition to those on its cores.
 pub(crate) const QUEUE_LENGTH: usize = 60;
 
-/// Number of zones; endpoints and instances are distributed over them in turn.
+/// Number of zones. Endpoints and instances are distributed over them round-robin.
 pub(crate) const ZONES: usize = 3;
-/// How long a client waits for its answer.
+/// Time for which a client waits for an answer.
 pub(crate) const REQUEST_DEADLINE: Duration = Duration::from_secs(2);
 
-/// One kind of request, in the model.
+/// Model of a route.
 pub(crate) struct RouteModel {
-    /// An answer counts only if it comes within this time.
+    /// An answer counts as served only if it arrives within this time.
     pub(crate) latency_objective: Duration,
-    /// Mean cost of an attempt, as time of a warm core of the faster hardware class.
+    /// Mean cost of an attempt, as time on a warm core of the faster hardware class.
     pub(crate) mean_cost: Duration,
-    /// Share of the requests.
+    /// Share of the requests that use this route.
     pub(crate) traffic_share: f64,
-    /// The value of an answer relative to those of other routes.
+    /// Value of an answer relative to the answers of other routes.
     pub(crate) priority_weight: f64,
-    /// Whether it may be executed twice.
+    /// Whether a request may be executed more than once.
     pub(crate) idempotency: Idempotency,
 }
 
-/// The routes: two idempotent ones, one with idempotency keys, one that must not be executed twice.
+/// The routes: two idempotent, one with idempotency keys, and one non-idempotent.
 pub(crate) const ROUTES: [RouteModel; 4] = [
     RouteModel {
         latency_objective: Duration::from_millis(600),
@@ -131,15 +131,15 @@
     },
 ];
 
-/// A hardware class of endpoints.
+/// Model of a hardware class of endpoints.
 pub(crate) struct HardwareModel {
-    /// Requests that it executes concurrently.
+    /// Number of requests that an endpoint executes concurrently.
     pub(crate) cores: usize,
-    /// Time for a request, as a multiple of the faster class's.
+    /// Service time of a request, as a multiple of that of the faster class.
     pub(crate) cost_factor: f64,
 }
 
-/// The hardware classes, by index.
+/// The hardware classes, indexed by `HardwareClassIndex`.
 pub(crate) const HARDWARE: [HardwareModel; 2] = [
     HardwareModel {
         cores: 4,
@@ -151,7 +151,7 @@
     },
 ];
 
-/// When the candidate is offered.
+/// Returns the time at which the candidate is offered.
 pub(crate) fn candidate_offered_at() -> Timestamp {
     START + OFFERED_AFTER
 }
--- a/crates/simulation/src/rollout.rs
+++ b/crates/simulation/src/rollout.rs
@@ -1,5 +1,5 @@
-//! The platform: it rolls a build out by stages, counts the votes, and rolls the build back or
-//! releases it.
+//! The rollout platform, which rolls a build out in stages, counts the instances' votes, and
+//! releases the build or rolls it back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,8 @@
     VOTE_LIFETIME, candidate_offered_at,
 };
 
-/// Number of rollback votes that are needed: one for each thirty instances, at least one.
+/// Returns the number of votes that trigger a rollback: one for each group of
+/// [`INSTANCES_PER_ROLLBACK_VOTE`] instances, rounded up.
 pub(crate) fn rollback_votes(size: FleetSize) -> usize {
     size.instances.div_ceil(INSTANCES_PER_ROLLBACK_VOTE)
 }
@@ -31,18 +32,18 @@
     expires_at: Timestamp,
 }
 
-/// What the platform acts on.
+/// The state of the environment that the platform reads and changes.
 pub(crate) struct PlatformContext<'a> {
     /// The current time.
     pub(crate) now: Timestamp,
-    /// The endpoints that it replaces.
+    /// The fleet whose endpoints the platform replaces.
     pub(crate) fleet: &'a mut Fleet,
-    /// Where it announces the rollout's state.
+    /// The network over which the platform announces the rollout's state.
     pub(crate) network: &'a mut Network,
 }
 
 impl PlatformContext<'_> {
-    /// Orders a replacement for each of the slots in which `from` serves.
+    /// Orders a replacement of build `to` for each of the slots in which `from` serves.
     fn replace(&mut self, slots: &[SlotIndex], from: BuildNumber, to: BuildNumber) {
         for slot in slots {
             if self.fleet.build_in(*slot) == from {
@@ -54,18 +55,18 @@
     }
 }
 
-/// The rollout of the candidate. Before the candidate is offered, the newest build is the baseline,
-/// which is released.
+/// The rollout of the candidate. Until the candidate is offered, the newest build is the released
+/// baseline.
 pub(crate) struct Rollout {
     trigger: RollbackTrigger,
     stage: StageIndex,
     phase: RolloutPhase,
-    /// When stage and phase began.
+    /// When the current stage and phase began.
     since: Timestamp,
-    /// Time for which the stage's endpoints have been running without being held by votes.
+    /// Time since all endpoints of the stage started, without the time for which votes held it.
     stage_progress: Duration,
     announced_at: Timestamp,
-    /// The last vote of each instance.
+    /// The last unexpired vote of each instance.
     votes: BTreeMap<InstanceIndex, CountedVote>,
     rollback_votes_needed: usize,
     hold_votes_needed: usize,
@@ -75,7 +76,7 @@
 }
 
 impl Rollout {
-    /// The baseline serves everywhere.
+    /// Creates the rollout at a time at which only the baseline serves.
     pub(crate) fn new(size: FleetSize, trigger: RollbackTrigger) -> Rollout {
         Rollout {
             trigger,
@@ -93,22 +94,22 @@
         }
     }
 
-    /// Time from the offer to the rollback.
+    /// Returns the time from the offer to the rollback.
     pub(crate) fn rolled_back_after(&self) -> Option<Duration> {
         self.rolled_back_after
     }
 
-    /// Time from the offer to the release.
+    /// Returns the time from the offer to the release.
     pub(crate) fn released_after(&self) -> Option<Duration> {
         self.released_after
     }
 
-    /// How long votes have held a stage.
+    /// Returns the total time for which votes held a stage.
     pub(crate) fn held_time(&self) -> Duration {
         self.held_time
     }
 
-    /// One tick of the platform.
+    /// Advances the platform by one tick.
     pub(crate) fn step(&mut self, context: &mut PlatformContext) {
         let now = context.now;
         if now == candidate_offered_at() {
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Takes an instance's vote. A rollback vote counts at any stage, other votes only at the
-    /// current one.
+    /// Receives the vote of an instance. A rollback vote is accepted for any stage, and other votes
+    /// only for the current one.
     pub(crate) fn receive_vote(
         &mut self,
         instance: InstanceIndex,
@@ -140,8 +141,8 @@
         VoteResult::Accepted
     }
 
-    /// An attempt at the candidate has failed, which counts as a rollback vote where the first
-    /// failure triggers a rollback.
+    /// Handles a failed attempt at the candidate. Under [`RollbackTrigger::FirstFailure`] it counts
+    /// as a rollback vote of the instance.
     pub(crate) fn on_candidate_failure(&mut self, instance: InstanceIndex, now: Timestamp) {
         if self.trigger == RollbackTrigger::FirstFailure {
             let ballot = Ballot {
@@ -187,8 +188,8 @@
         self.acts_on_votes() && votes >= self.hold_votes_needed
     }
 
-    /// Counts a tick at the stage. At the end of the stage the next one begins, or the build is
-    /// released.
+    /// Adds a tick to the progress of the stage, or to the held time if votes hold it. At the end
+    /// of the stage, the next one begins or the build is released.
     fn advance(&mut self, context: &mut PlatformContext) {
         if self.is_held() {
             self.held_time += TICK;
@@ -257,7 +258,7 @@
     }
 }
 
-/// The newest build that the platform knows of.
+/// Returns the newest build that has been offered.
 fn newest_build(now: Timestamp) -> BuildNumber {
     if now < candidate_offered_at() {
         BASELINE_BUILD
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the instances.
+//! Settings of the simulated proxy instances.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONES};
 use crate::rollout::rollback_votes;
 
-/// Votes a second that the platform takes for each instance; no instance casts as many.
+/// Limit on votes per second for each instance. No instance casts as many, so the limit never takes
+/// effect.
 const VOTES_PER_SECOND_AND_INSTANCE: usize = 16;
 
-/// Settings of an instance.
+/// Returns the settings of an instance.
 pub(crate) fn instance_settings(case: TrialCase, instance: InstanceIndex) -> Settings {
     let size = case.size;
     let strict = case.profile == SettingsProfile::Strict;
@@ -54,12 +55,12 @@
     }
 }
 
-/// Name of a zone.
+/// Returns the name of a zone.
 pub(crate) fn zone_name(zone: ZoneIndex) -> String {
     format!("z{}", zone.get())
 }
 
-/// Name of a hardware class.
+/// Returns the name of a hardware class.
 pub(crate) fn hardware_class_name(hardware_class: HardwareClassIndex) -> String {
     format!("k{hardware_class}")
 }
--- a/crates/simulation/src/trial.rs
+++ b/crates/simulation/src/trial.rs
@@ -1,5 +1,5 @@
-//! The run loop of a trial: some seconds without a rollout, then the rollout of a build by stages,
-//! until its release or rollback.
+//! The run loop of a trial: a period without a rollout, in which the policy learns the baseline,
+//! and then the staged rollout of a build.
 
 use std::cell::RefCell;
 
@@ -18,20 +18,20 @@
 use crate::parameters::START;
 use crate::settings::instance_settings;
 
-/// Keeps the seeds of the instances of neighbouring cases apart (a prime above the number of
-/// instances of the largest fleet).
+/// Distance between the instance seeds of cases with adjacent seeds. It is a prime above the number
+/// of instances of the largest fleet, so that the seeds do not overlap.
 const SEEDS_PER_CASE: u64 = 1009;
-/// The instance that is not scheduled during a stall under
+/// The instance that is descheduled during a stall under
 /// [`Confounder::Stall`](crate::confounder::Confounder::Stall).
 const STALLED_INSTANCE: InstanceIndex = InstanceIndex::new(0);
 
-/// One proxy instance: its policy, and the notifications for its next step.
+/// A proxy instance: its policy and the pending notifications.
 struct Instance {
     index: InstanceIndex,
     policy: Balancer,
-    /// When it wants its next step, if no event comes before.
+    /// When the next step is due if no event arrives earlier.
     wake_up_at: Timestamp,
-    /// The notifications that it handles in that step, in order.
+    /// The notifications for the next step, in order.
     pending_notifications: Vec<Notification>,
 }
 
@@ -53,7 +53,7 @@
         !self.pending_notifications.is_empty() || now >= self.wake_up_at
     }
 
-    /// One step of the policy.
+    /// Runs one step of the policy.
     fn step(&mut self, environment: &mut Environment, digest: &mut Digest) {
         let now = environment.now;
         let notifications = std::mem::take(&mut self.pending_notifications);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs a trial from its start to its end.
+/// Runs a trial for its whole duration and returns the outcome.
 pub fn run_trial(case: TrialCase) -> TrialOutcome {
     let mut environment = Environment::new(case);
     let mut instances: Vec<Instance> = (0..case.size.instances)
@@ -98,7 +98,7 @@
     }
 }
 
-/// Lets each instance that has work make its step of this tick, and returns the number of steps.
+/// Runs one step of each instance that has work and is not stalled. Returns the number of steps.
 fn step_instances(
     instances: &mut [Instance],
     environment: &mut Environment,
--- a/crates/simulation/tests/trials.rs
+++ b/crates/simulation/tests/trials.rs
@@ -1,5 +1,5 @@
-//! Properties of the model: a seed determines its trial, builds behave as described, and bad builds
-//! are noticed.
+//! Properties of the simulation: trials are deterministic for a seed, bad builds reduce the served
+//! share, and the policy's votes roll bad builds back and let good ones be released.
 
 use std::time::Duration;
 
@@ -11,16 +11,17 @@
 use tidescale_simulation::random_stream::RandomStream;
 use tidescale_simulation::trial::run_trial;
 
-/// Keeps the draws of a good build apart from those of its trial.
+/// Stream for drawing a good build. No stream of the trial has the same number.
 const BUILD_STREAM: u64 = 9;
 /// An idempotent route.
 const IDEMPOTENT_ROUTE: RouteIndex = RouteIndex::new(0);
 /// Seconds from the trial's start until the candidate is offered.
 const OFFERED_AFTER_SECONDS: usize = 8;
-/// In trials without votes the candidate serves the whole fleet from this second on.
+/// In trials without votes, the candidate is released and serves at all endpoints from this second
+/// on.
 const RELEASED_FROM_SECOND: usize = 36;
 
-/// A trial of a small fleet with the policy's votes and no trouble besides the build.
+/// Returns a trial of a small fleet in which votes take effect and there is no confounder.
 fn small_fleet_case(seed: u64, build: BuildBehavior) -> TrialCase {
     TrialCase {
         seed,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Runs a trial in which no vote keeps the build from its release.
+/// Runs a trial in which the platform ignores votes, so that the build is always released.
 fn run_without_votes(build: BuildBehavior) -> TrialOutcome {
     run_trial(TrialCase {
         rollback_trigger: RollbackTrigger::Never,
@@ -40,7 +41,7 @@
     })
 }
 
-/// A clearly bad build of each kind.
+/// Returns a clearly bad build of each kind.
 fn bad_builds() -> [BuildBehavior; 9] {
     [
         BuildBehavior::CostFactor(2.6),
@@ -93,7 +94,7 @@
     for build in bad_builds() {
         let bad = run_without_votes(build);
 
-        // A pair of trials is equal until the build is offered.
+        // Paired trials are identical until the build is offered.
         assert_eq!(
             bad.served_by_second[..OFFERED_AFTER_SECONDS],
             good.served_by_second[..OFFERED_AFTER_SECONDS],
