--- a/crates/simulation/src/build_behavior.rs
+++ b/crates/simulation/src/build_behavior.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether rolling the build back would be a false rollback.
+    /// Returns whether rolling the build back would be a false rollback.
     pub fn is_good(self) -> bool {
         matches!(self, BuildBehavior::CostFactor(factor) if factor < GOOD_COST_LIMIT)
     }
--- a/crates/simulation/src/endpoint.rs
+++ b/crates/simulation/src/endpoint.rs
@@ -37,7 +37,7 @@
 pub(crate) struct RequestCost {
     /// Cost under the baseline.
     pub(crate) core_micros: CoreMicros,
-    /// Cost under the build that the endpoint runs, as a multiple of that.
+    /// Cost under the build that the endpoint runs, as a multiple of `core_micros`.
     pub(crate) build_factor: f64,
 }
 
@@ -141,7 +141,8 @@
         self.finish_times.len()
     }
 
-    /// Admits a request and computes its completion time, or rejects it if the queue is full.
+    /// Admits a request and computes its completion time, or rejects it if the queue is full. An
+    /// unresponsive endpoint does neither.
     pub(crate) fn admit(&mut self, cost: RequestCost, now: Timestamp) -> Admission {
         if self.impairment.unresponsive {
             return Admission::Unanswered;
