--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -118,7 +118,7 @@
     ProxyNotListening,
     /// The log of a proxy instance lacks a figure.
     #[error("the log of the proxy instance lacks {0}")]
-    FigureNotLogged(&'static str),
+    MetricNotLogged(&'static str),
     /// Attempts were sent to a draining endpoint.
     #[error("restart: attempts were sent to a draining endpoint in {runs} runs")]
     DrainingEndpointUsed {
--- a/crates/experiments/src/restart/instance.rs
+++ b/crates/experiments/src/restart/instance.rs
@@ -134,11 +134,11 @@
 }
 
 /// An address that only this run uses, with a port that was free just before.
-pub(super) fn own_address(run: RunNumber) -> Result<SocketAddr, ExperimentError> {
+pub(super) fn run_address(run: RunNumber) -> Result<SocketAddr, ExperimentError> {
     let RunNumber(number) = run;
-    let third = (number / ADDRESSES_PER_BYTE) as u8;
-    let fourth = 1 + (number % ADDRESSES_PER_BYTE) as u8;
-    free_address(Ipv4Addr::new(127, 9, third, fourth))
+    let third_byte = (number / ADDRESSES_PER_BYTE) as u8;
+    let fourth_byte = 1 + (number % ADDRESSES_PER_BYTE) as u8;
+    free_address(Ipv4Addr::new(127, 9, third_byte, fourth_byte))
 }
 
 /// A port of this address that was free just before.
--- a/crates/experiments/src/restart/load.rs
+++ b/crates/experiments/src/restart/load.rs
@@ -18,17 +18,17 @@
 const LOW_TRAFFIC_FACTOR: u32 = 3;
 
 /// Clients that send requests until they are stopped.
-pub(super) struct Load {
+pub(super) struct LoadGenerator {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<ClientAnswer>>>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// Starts the clients of an instance.
-    pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> Load {
+    pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> LoadGenerator {
         let stop = Arc::new(AtomicBool::new(false));
         let interval = match scenario {
-            Scenario::Trouble | Scenario::Healed => REQUEST_INTERVAL,
+            Scenario::FaultyEndpoints | Scenario::RecoveredEndpoints => REQUEST_INTERVAL,
             Scenario::BadBuild => LOW_TRAFFIC_FACTOR * REQUEST_INTERVAL,
         };
         let clients = (0..CLIENTS)
@@ -37,13 +37,13 @@
                 let stop = stop.clone();
                 let client = Client {
                     proxy,
-                    client: number,
+                    number,
                     interval,
                 };
                 thread::spawn(move || client.run(&stop))
             })
             .collect();
-        Load { stop, clients }
+        LoadGenerator { stop, clients }
     }
 
     /// Stops the clients and returns the answers that they recorded.
--- a/crates/experiments/src/restart/scenario.rs
+++ b/crates/experiments/src/restart/scenario.rs
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scenario {
     /// One endpoint is slow, one does not respond, and one is draining.
-    Trouble,
+    FaultyEndpoints,
     /// The same, but the first two have recovered before the instance is restarted.
-    Healed,
+    RecoveredEndpoints,
     /// Traffic is low, and a build under evaluation fails one request in twelve, which the instance
     /// had detected before its restart.
     BadBuild,
@@ -56,13 +56,17 @@
 
 impl Scenario {
     /// All of them.
-    pub(super) const ALL: [Scenario; 3] = [Scenario::Trouble, Scenario::Healed, Scenario::BadBuild];
+    pub(super) const ALL: [Scenario; 3] = [
+        Scenario::FaultyEndpoints,
+        Scenario::RecoveredEndpoints,
+        Scenario::BadBuild,
+    ];
 
     /// Its name in tables.
     pub(super) fn name(self) -> &'static str {
         match self {
-            Scenario::Trouble => "trouble",
-            Scenario::Healed => "healed",
+            Scenario::FaultyEndpoints => "trouble",
+            Scenario::RecoveredEndpoints => "healed",
             Scenario::BadBuild => "bad build",
         }
     }
@@ -70,7 +74,7 @@
     /// The rollout's state throughout a run.
     pub(super) fn announcement(self) -> Announcement {
         match self {
-            Scenario::Trouble | Scenario::Healed => RELEASED,
+            Scenario::FaultyEndpoints | Scenario::RecoveredEndpoints => RELEASED,
             Scenario::BadBuild => Announcement {
                 build: CANDIDATE_BUILD,
                 phase: AnnouncedPhase::Canary,
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -3,7 +3,7 @@
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tidescale_policy::statistics::WeightedSum;
@@ -18,7 +18,7 @@
 use super::configuration::{
     Configuration, ListedEndpoint, ListedState, SnapshotSettings, endpoint_list,
 };
-use super::instance::{Launch, ProxyInstance, RunNumber, free_address, own_address};
+use super::instance::{Launch, ProxyInstance, RunNumber, free_address, run_address};
 use super::scenario::{BASELINE_BUILD, ListPosition, RELEASED};
 use crate::error::ExperimentError;
 use crate::units::milliseconds;
@@ -31,9 +31,9 @@
     weight: 4.0,
 };
 /// Log key of the longest time for which collecting a snapshot has blocked the event loop.
-const LONGEST_SLICE: &str = "longest_slice_us: ";
+const LONGEST_SLICE_KEY: &str = "longest_slice_us: ";
 /// Log key of the longest iteration of the event loop.
-const LONGEST_ITERATION: &str = "longest_turn_us: ";
+const LONGEST_ITERATION_KEY: &str = "longest_turn_us: ";
 
 /// The cost of a snapshot of some number of endpoints.
 pub(super) struct SnapshotCost {
@@ -58,7 +58,7 @@
 }
 
 /// An encoded snapshot, and the times to encode and decode it.
-struct Encoded {
+struct EncodedSnapshot {
     bytes: Vec<u8>,
     encode_time: Duration,
     decode_time: Duration,
@@ -73,8 +73,8 @@
     ) -> Result<SnapshotCost, ExperimentError> {
         let dir = environment.dir.join(format!("size-{endpoints}"));
         fs::create_dir_all(&dir).map_err(ExperimentError::at(&dir))?;
-        let encoded = Encoded::measure(endpoints)?;
-        let listen = own_address(run)?;
+        let encoded = EncodedSnapshot::measure(endpoints)?;
+        let listen = run_address(run)?;
         let configuration = write_configuration(endpoints, listen, &dir)?;
         let folder = dir.join("memory");
         let operators_file = SnapshotSettings {
@@ -102,9 +102,9 @@
             decode_ms: milliseconds(encoded.decode_time),
             start_up_with_ms: milliseconds(with.start_up_time),
             start_up_without_ms: milliseconds(without.start_up_time),
-            longest_slice_us: logged_figure(&with.log, LONGEST_SLICE)?,
-            longest_iteration_with_us: logged_figure(&with.log, LONGEST_ITERATION)?,
-            longest_iteration_without_us: logged_figure(&without.log, LONGEST_ITERATION)?,
+            longest_slice_us: logged_metric(&with.log, LONGEST_SLICE_KEY)?,
+            longest_iteration_with_us: logged_metric(&with.log, LONGEST_ITERATION_KEY)?,
+            longest_iteration_without_us: logged_metric(&without.log, LONGEST_ITERATION_KEY)?,
         })
     }
 }
@@ -125,8 +125,8 @@
     }
 }
 
-impl Encoded {
-    fn measure(endpoints: usize) -> Result<Encoded, ExperimentError> {
+impl EncodedSnapshot {
+    fn measure(endpoints: usize) -> Result<EncodedSnapshot, ExperimentError> {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -145,7 +145,7 @@
         let started_at = Instant::now();
         format::decode(&bytes)
             .map_err(|source| ExperimentError::SnapshotUnreadable { endpoints, source })?;
-        Ok(Encoded {
+        Ok(EncodedSnapshot {
             bytes,
             encode_time,
             decode_time: started_at.elapsed(),
@@ -201,12 +201,12 @@
 
 /// An address on loopback on which nothing listens.
 fn endpoint_address(position: ListPosition) -> SocketAddr {
-    const PER_BYTE: usize = 250;
+    const ADDRESSES_PER_BYTE: usize = 250;
     const PORT: u16 = 5432;
     let ListPosition(index) = position;
-    let third = (index / PER_BYTE) as u8;
-    let fourth = (1 + index % PER_BYTE) as u8;
-    SocketAddr::from(([127, 10, third, fourth], PORT))
+    let third_byte = (index / ADDRESSES_PER_BYTE) as u8;
+    let fourth_byte = (1 + index % ADDRESSES_PER_BYTE) as u8;
+    SocketAddr::from(([127, 10, third_byte, fourth_byte], PORT))
 }
 
 /// Writes the configuration of an instance that has the endpoint list from its start and can reach
@@ -215,7 +215,7 @@
     endpoints: usize,
     listen: SocketAddr,
     dir: &Path,
-) -> Result<std::path::PathBuf, ExperimentError> {
+) -> Result<PathBuf, ExperimentError> {
     let entries: Vec<_> = (0..endpoints)
         .map(ListPosition)
         .map(|position| {
@@ -247,7 +247,7 @@
 }
 
 /// The first whole number after this key in a log.
-fn logged_figure(log: &str, key: &'static str) -> Result<f64, ExperimentError> {
+fn logged_metric(log: &str, key: &'static str) -> Result<f64, ExperimentError> {
     log.split(key)
         .nth(1)
         .and_then(|rest| {
@@ -255,5 +255,5 @@
                 .next()
         })
         .and_then(|digits| digits.parse().ok())
-        .ok_or(ExperimentError::FigureNotLogged(key))
+        .ok_or(ExperimentError::MetricNotLogged(key))
 }
--- a/crates/experiments/src/restart/window.rs
+++ b/crates/experiments/src/restart/window.rs
@@ -35,8 +35,8 @@
 
 impl ByWindow {
     /// Computes the figure of each window.
-    pub(super) fn new(figure: impl FnMut(Window) -> f64) -> ByWindow {
-        ByWindow(Window::ALL.map(figure))
+    pub(super) fn new(value: impl FnMut(Window) -> f64) -> ByWindow {
+        ByWindow(Window::ALL.map(value))
     }
 }
 
--- a/crates/experiments/src/stand_ins/http_server.rs
+++ b/crates/experiments/src/stand_ins/http_server.rs
@@ -9,7 +9,7 @@
 /// Time between two heartbeats on a stream.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Longer requests are truncated; those of the proxy have a few hundred bytes.
-const LONGEST_REQUEST: usize = 4096;
+const MAX_REQUEST_BYTES: usize = 4096;
 
 /// A response to a request.
 pub(super) enum Response {
@@ -45,23 +45,23 @@
 }
 
 fn serve(mut stream: TcpStream, respond: &dyn Fn(&str) -> Response) -> io::Result<()> {
-    let mut buffer = [0; LONGEST_REQUEST];
+    let mut buffer = [0; MAX_REQUEST_BYTES];
     loop {
         let length = stream.read(&mut buffer)?;
         if length == 0 {
             return Ok(());
         }
         match respond(&String::from_utf8_lossy(&buffer[..length])) {
-            Response::Body(body) => stream.write_all(with_length(&body).as_bytes())?,
+            Response::Body(body) => stream.write_all(encode_response(&body).as_bytes())?,
             Response::Stream {
                 content_type,
                 first_chunk,
                 heartbeat,
             } => {
-                let head = stream_head(content_type) + &chunk(&first_chunk);
+                let head = encode_stream_head(content_type) + &encode_chunk(&first_chunk);
                 stream.write_all(head.as_bytes())?;
                 loop {
-                    stream.write_all(chunk(heartbeat).as_bytes())?;
+                    stream.write_all(encode_chunk(heartbeat).as_bytes())?;
                     thread::sleep(HEARTBEAT_INTERVAL);
                 }
             }
@@ -69,17 +69,17 @@
     }
 }
 
-fn with_length(body: &str) -> String {
+fn encode_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-fn stream_head(content_type: &str) -> String {
+fn encode_stream_head(content_type: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: {content_type}\r\n\r\n")
 }
 
-fn chunk(text: &str) -> String {
+fn encode_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/experiments/src/stand_ins/message.rs
+++ b/crates/experiments/src/stand_ins/message.rs
@@ -7,7 +7,7 @@
 /// Number of bytes of the length field.
 const LENGTH_BYTES: usize = 4;
 /// Length of the longest message that is read; longer ones are truncated.
-const LONGEST: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Protocol version 3.0 in a start-up message.
 const PROTOCOL_VERSION: u32 = 196_608;
 
@@ -36,13 +36,13 @@
 
 /// Encodes a message.
 pub(super) fn encode(tag: u8, body: &[u8]) -> Vec<u8> {
-    [&[tag][..], &length_of(body), body].concat()
+    [&[tag][..], &encode_length(body), body].concat()
 }
 
 /// Encodes a start-up message, which has no type.
 pub(super) fn encode_start_up(parameters: &[u8]) -> Vec<u8> {
     let body = [&PROTOCOL_VERSION.to_be_bytes()[..], parameters].concat();
-    [&length_of(&body)[..], &body].concat()
+    [&encode_length(&body)[..], &body].concat()
 }
 
 /// Reads the next message.
@@ -61,12 +61,12 @@
 fn read_body(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length)?;
-    let length = (u32::from_be_bytes(length) as usize).clamp(LENGTH_BYTES, LONGEST);
+    let length = (u32::from_be_bytes(length) as usize).clamp(LENGTH_BYTES, MAX_MESSAGE_BYTES);
     let mut body = vec![0; length - LENGTH_BYTES];
     stream.read_exact(&mut body)?;
     Ok(body)
 }
 
-fn length_of(body: &[u8]) -> [u8; LENGTH_BYTES] {
+fn encode_length(body: &[u8]) -> [u8; LENGTH_BYTES] {
     (body.len() as u32 + LENGTH_BYTES as u32).to_be_bytes()
 }
--- a/crates/experiments/src/stand_ins/services.rs
+++ b/crates/experiments/src/stand_ins/services.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use tidescale_policy::types::{BuildNumber, StageIndex};
@@ -130,7 +130,7 @@
     }
 
     /// Forgets the rollback votes received so far.
-    pub fn forget_votes(&self) {
+    pub fn clear_votes(&self) {
         self.votes().clear();
     }
 
@@ -139,7 +139,7 @@
         self.votes().first().copied()
     }
 
-    fn votes(&self) -> std::sync::MutexGuard<'_, Vec<Instant>> {
+    fn votes(&self) -> MutexGuard<'_, Vec<Instant>> {
         self.rollback_votes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
