--- a/crates/experiments/src/bar_chart.rs
+++ b/crates/experiments/src/bar_chart.rs
@@ -10,7 +10,7 @@
 use crate::error::ExperimentError;
 
 /// Width and height in pixels.
-const SIZE: (u32, u32) = (760, 380);
+const IMAGE_SIZE: (u32, u32) = (760, 380);
 /// Share of a group's width that its bars cover.
 const GROUP_FILL: f64 = 0.8;
 /// Share of a group's width on each side of its bars.
@@ -18,7 +18,7 @@
 /// Share of a bar's width that is drawn; the rest separates it from the next bar.
 const BAR_FILL: f64 = 0.94;
 /// Side of a coloured square in the legend, in pixels.
-const LEGEND_SIDE: i32 = 10;
+const LEGEND_MARKER_SIZE: i32 = 10;
 
 type DrawingError = DrawingAreaErrorKind<io::Error>;
 type Axes<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -67,7 +67,7 @@
     }
 
     fn draw(&self, path: &Path) -> Result<(), DrawingError> {
-        let root = SVGBackend::new(path, SIZE).into_drawing_area();
+        let root = SVGBackend::new(path, IMAGE_SIZE).into_drawing_area();
         root.fill(&WHITE)?;
         let mut axes = ChartBuilder::on(&root)
             .caption(self.title, ("sans-serif", 18))
@@ -134,9 +134,9 @@
         axes.draw_series(bars)?
             .label(series.name)
             .legend(move |(x, y)| {
-                let half = LEGEND_SIDE / 2;
+                let half_size = LEGEND_MARKER_SIZE / 2;
                 Rectangle::new(
-                    [(x, y - half), (x + LEGEND_SIDE, y + half)],
+                    [(x, y - half_size), (x + LEGEND_MARKER_SIZE, y + half_size)],
                     colour.filled(),
                 )
             });
--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -133,9 +133,9 @@
         let endpoints = start_endpoints(scenario)?;
         let list = endpoint_list(&list_entries(scenario, &endpoints));
         let discovery = start_discovery(&list.to_string())
-            .map_err(ExperimentError::in_step("start discovery"))?;
+            .map_err(ExperimentError::during("start discovery"))?;
         let platform = StandInPlatform::start(scenario.announcement())
-            .map_err(ExperimentError::in_step("start the platform"))?;
+            .map_err(ExperimentError::during("start the platform"))?;
         let listen = run_address(plan.number)?;
         let configuration = Configuration {
             listen,
@@ -309,7 +309,7 @@
     let mut endpoints = Vec::new();
     for _ in 0..ENDPOINTS {
         let endpoint = StandInEndpoint::start(HEALTHY_DELAY_MS)
-            .map_err(ExperimentError::in_step("start an endpoint"))?;
+            .map_err(ExperimentError::during("start an endpoint"))?;
         endpoints.push(endpoint);
     }
     if scenario == Scenario::BadBuild {
--- a/crates/experiments/src/saver.rs
+++ b/crates/experiments/src/saver.rs
@@ -46,7 +46,7 @@
     loop {
         number += 1;
         writeln!(out, "{BEGUN} {number}")
-            .map_err(ExperimentError::in_step("write to standard output"))?;
+            .map_err(ExperimentError::during("write to standard output"))?;
         store
             .save(Timestamp::from_micros(number), records_of(number))
             .map_err(|source| ExperimentError::Save {
@@ -54,7 +54,7 @@
                 source,
             })?;
         writeln!(out, "{SAVED} {number}")
-            .map_err(ExperimentError::in_step("write to standard output"))?;
+            .map_err(ExperimentError::during("write to standard output"))?;
     }
 }
 
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -11,11 +11,11 @@
 const CASE_STREAM: u64 = 0;
 /// A build is harmful if at least this share of the served weight is lost when it serves the whole
 /// fleet.
-const HARMFUL_LOSS: f64 = 0.03;
+const HARM_THRESHOLD: f64 = 0.03;
 /// Number of seconds at the end of a trial without votes in which the whole fleet runs the build.
-const MEASURED_SECONDS: usize = 8;
+const HARM_WINDOW_SECONDS: usize = 8;
 /// Share of the trials without a confounder.
-const WITHOUT_CONFOUNDER: f64 = 0.5;
+const NO_CONFOUNDER_SHARE: f64 = 0.5;
 
 /// One trial: its case and its measurements.
 pub(super) struct TrialRow {
@@ -59,7 +59,7 @@
 
     /// Whether the build has to be rolled back.
     pub(super) fn is_harmful(&self) -> bool {
-        self.harm >= HARMFUL_LOSS
+        self.harm >= HARM_THRESHOLD
     }
 
     /// Whether the build was rolled back.
@@ -82,7 +82,7 @@
     let mut random = RandomStream::new(seed, CASE_STREAM);
     let build = BuildBehavior::draw(&mut random);
     let drawn = Confounder::ALL[random.index_below(Confounder::ALL.len())];
-    let confounder = if random.happens(WITHOUT_CONFOUNDER) {
+    let confounder = if random.happens(NO_CONFOUNDER_SHARE) {
         Confounder::None
     } else {
         drawn
@@ -101,8 +101,8 @@
 /// trial of a good build, both without votes and without a confounder.
 fn measure_harm(case: TrialCase) -> f64 {
     /// Keeps the share finite if nothing is served.
-    const SMALLEST: f64 = 1e-9;
-    let first_second = case.size.duration.as_secs() as usize - MEASURED_SECONDS;
+    const MIN_SERVED_SHARE: f64 = 1e-9;
+    let first_second = case.size.duration.as_secs() as usize - HARM_WINDOW_SECONDS;
     let served_share = |build: BuildBehavior| {
         let trial = TrialCase {
             build,
@@ -114,5 +114,5 @@
     };
     let bad = served_share(case.build);
     let good = served_share(BuildBehavior::SAME_AS_BASELINE);
-    ((good - bad) / good.max(SMALLEST)).max(0.0)
+    ((good - bad) / good.max(MIN_SERVED_SHARE)).max(0.0)
 }
