--- a/crates/experiments/src/bar_chart.rs
+++ b/crates/experiments/src/bar_chart.rs
@@ -1,4 +1,4 @@
-//! Bar charts as SVG files: bars in groups, with a colour for each series.
+//! Grouped bar charts as SVG files, with one colour per series.
 
 use std::io;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 use crate::error::ExperimentError;
 
-/// Width and height in pixels.
+/// Width and height of a chart in pixels.
 const IMAGE_SIZE: (u32, u32) = (760, 380);
 /// Share of a group's width that its bars cover.
 const GROUP_FILL: f64 = 0.8;
@@ -17,29 +17,29 @@
 const GROUP_MARGIN: f64 = 0.1;
 /// Share of a bar's width that is drawn; the rest separates it from the next bar.
 const BAR_FILL: f64 = 0.94;
-/// Side of a coloured square in the legend, in pixels.
+/// Side length of the coloured squares in the legend, in pixels.
 const LEGEND_MARKER_SIZE: i32 = 10;
 
 type DrawingError = DrawingAreaErrorKind<io::Error>;
 type Axes<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// One series of bars.
+/// A series, which has one bar in each group of a chart.
 pub struct Series<'a> {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: &'a str,
-    /// The height of the bar in each group; values that are not finite get no bar.
+    /// Height of the bar in each group; no bar is drawn for a value that is not finite.
     pub values: Vec<f64>,
 }
 
-/// A chart of bars in groups, from 0 to `maximum`.
+/// A grouped bar chart with a vertical axis from 0 to `maximum`.
 pub struct BarChart<'a> {
-    /// The title.
+    /// Title above the chart.
     pub title: &'a str,
-    /// Names of the groups.
+    /// Names of the groups, from left to right.
     pub groups: &'a [&'a str],
-    /// The series, each with a bar in each group.
+    /// The series, in the order of their bars within a group.
     pub series: &'a [Series<'a>],
-    /// Upper end of the scale, at which higher bars are cut off.
+    /// Upper end of the vertical axis; higher bars are cut off.
     pub maximum: f64,
 }
 
@@ -47,18 +47,18 @@
 #[derive(Clone, Copy)]
 struct BarStyle {
     colour: RGBAColor,
-    /// Distance from the first bar of the group, as a share of the group's width.
+    /// Distance from the left edge of the group's first bar, as a share of the group's width.
     offset: f64,
-    /// Distance to the next bar, as a share of the group's width.
+    /// Distance between the left edges of adjacent bars, as a share of the group's width.
     width: f64,
 }
 
 impl BarChart<'_> {
-    /// Writes the chart to a file, which is replaced if it exists.
+    /// Writes the chart to a file, and replaces an existing one.
     ///
     /// # Errors
     ///
-    /// If the file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), ExperimentError> {
         self.draw(path).map_err(|source| ExperimentError::Chart {
             path: path.to_path_buf(),
@@ -77,7 +77,7 @@
             .build_cartesian_2d(0.0..self.groups.len() as f64, 0.0..self.maximum)?;
         axes.configure_mesh()
             .disable_x_mesh()
-            // Twice as many labels as groups, so that there is one in the middle of each group.
+            // Labels at every half unit, so that one is in the middle of each group.
             .x_labels(2 * self.groups.len() + 1)
             .x_label_formatter(&|x| self.group_label(*x))
             .draw()?;
@@ -97,7 +97,7 @@
         root.present()
     }
 
-    /// The name of the group whose middle is at `x`; empty elsewhere.
+    /// Returns the name of the group whose middle is at `x`, or an empty string elsewhere.
     fn group_label(&self, x: f64) -> String {
         const ROUNDING: f64 = 1e-6;
         let at_middle = (x - 0.5).fract().abs() < ROUNDING;
--- a/crates/experiments/src/disk.rs
+++ b/crates/experiments/src/disk.rs
@@ -1,4 +1,5 @@
-//! `disk`: power losses on a simulated disk, and injected faults that the checker has to catch.
+//! `disk`: checks that snapshots survive power losses on a simulated disk, and that the check
+//! detects injected faults.
 
 use clap::Args;
 use rayon::prelude::*;
@@ -9,7 +10,7 @@
 
 use crate::error::ExperimentError;
 
-/// Each injected fault has to be caught within this number of histories.
+/// Each injected fault has to be detected within this number of save histories.
 const MAX_HISTORIES: u64 = 200;
 
 /// Arguments of `disk`.
@@ -23,14 +24,14 @@
     seed: u64,
 }
 
-/// An injected fault.
+/// An injected fault, and the decoder with which snapshots are read.
 struct FaultCase {
     name: &'static str,
     fault: PlantedFault,
     decode: Decoder,
 }
 
-/// The faults that the checker has to catch.
+/// The injected faults that have to be detected.
 const FAULT_CASES: [FaultCase; 3] = [
     FaultCase {
         name: "a file sync left out",
@@ -49,12 +50,13 @@
     },
 ];
 
-/// Runs the histories with and without bit rot, checks that injected faults are caught, and returns
-/// the summary line.
+/// Runs the save histories with and without bit rot, checks that injected faults are detected, and
+/// returns the summary line.
 ///
 /// # Errors
 ///
-/// If a history does not read back whole, or an injected fault is not caught.
+/// Returns an error if a wrong snapshot is read back after a power loss, or if an injected fault is
+/// not detected.
 pub fn run(args: &DiskArgs) -> Result<String, ExperimentError> {
     let mut stats = CrashStats::default();
     for fault in [PlantedFault::None, PlantedFault::BitRot] {
@@ -92,7 +94,7 @@
         .map_err(ExperimentError::from)
 }
 
-/// Position of the first history in which an injected fault is caught, from 0.
+/// Returns the index of the first history in which an injected fault is detected.
 fn first_detecting_history(case: &FaultCase, seed: u64) -> Result<u64, ExperimentError> {
     (0..MAX_HISTORIES)
         .find(|index| {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,8 +1,9 @@
 //! `tidescale-experiments`: a subcommand for each experiment.
 //!
-//! Each prints a summary line last, and exits non-zero if a stated bound is broken. The same seed
-//! gives the same cases. `disk`, `verdicts` and `trace` run in virtual time and give the same
-//! figures for the same seed; `torture` and `restart` run real processes in real time.
+//! Each experiment prints a summary as its last line, and exits with a non-zero status if a bound
+//! is exceeded. A seed determines the cases that are tested. `disk`, `verdicts` and `trace` run in
+//! simulated time, so a seed also determines their results; `torture` and `restart` run real
+//! processes in real time, so their results vary.
 
 mod bar_chart;
 mod disk;
--- a/crates/experiments/src/parquet_table.rs
+++ b/crates/experiments/src/parquet_table.rs
@@ -1,4 +1,4 @@
-//! Rows of an experiment as a Parquet file: one required column for each figure, in one row group.
+//! Results of an experiment as a Parquet file with required columns, in a single row group.
 
 use std::fs::File;
 use std::path::Path;
@@ -15,16 +15,16 @@
 
 /// A column; all columns of a table have the same length.
 pub enum Column {
-    /// A column of texts.
+    /// A column of strings.
     Text {
-        /// Its name.
+        /// Name of the column.
         name: &'static str,
-        /// The text in each row.
+        /// The string in each row.
         values: Vec<String>,
     },
-    /// A column of numbers; a figure that a row lacks is NaN.
+    /// A column of numbers; a missing value is NaN.
     Numbers {
-        /// Its name.
+        /// Name of the column.
         name: &'static str,
         /// The number in each row.
         values: Vec<f64>,
@@ -32,13 +32,13 @@
 }
 
 impl Column {
-    /// A column with a text from each row.
+    /// Creates a column of strings, one for each row.
     pub fn text<Row>(name: &'static str, rows: &[Row], text: impl Fn(&Row) -> &str) -> Column {
         let values = rows.iter().map(|row| text(row).to_string()).collect();
         Column::Text { name, values }
     }
 
-    /// A column with a number from each row.
+    /// Creates a column of numbers, one for each row.
     pub fn numbers<Row>(name: &'static str, rows: &[Row], number: impl Fn(&Row) -> f64) -> Column {
         let values = rows.iter().map(number).collect();
         Column::Numbers { name, values }
@@ -52,11 +52,11 @@
     }
 }
 
-/// Writes a table with these columns to a file, which is replaced if it exists.
+/// Writes a table with these columns to a file, and replaces an existing one.
 ///
 /// # Errors
 ///
-/// If the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn write(path: &Path, columns: &[Column]) -> Result<(), ExperimentError> {
     let file = File::create(path).map_err(ExperimentError::at(path))?;
     write_columns(file, columns).map_err(|source| ExperimentError::Table {
--- a/crates/experiments/src/saver.rs
+++ b/crates/experiments/src/saver.rs
@@ -19,10 +19,10 @@
 /// First word of the line printed after a save; the number of the state follows.
 pub const SAVED: &str = "saved";
 
-/// Time within which the lock of a killed process is released.
+/// Maximum time to wait for the operating system to release the lock of a killed process.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two attempts to lock; short compared with the few milliseconds that a process
-/// lives.
+/// Time between two attempts to lock; short compared with the few milliseconds that a process runs
+/// before it is killed.
 const LOCK_POLL: Duration = Duration::from_millis(1);
 
 /// Arguments of `saver`.
@@ -32,11 +32,11 @@
     folder: PathBuf,
 }
 
-/// Saves states until the process is killed, starting after the last saved state.
+/// Saves states until the process is killed, starting with the number after the last saved state.
 ///
 /// # Errors
 ///
-/// If the directory cannot be locked, or a save fails.
+/// Returns an error if the directory cannot be locked, or if a save fails.
 pub fn run(args: &SaverArgs) -> Result<String, ExperimentError> {
     let (mut store, opened) = Store::open(lock_directory(&args.folder)?);
     let mut number = opened
@@ -62,7 +62,8 @@
 ///
 /// # Errors
 ///
-/// If the directory cannot be created or locked, or stays locked.
+/// Returns an error if the directory cannot be created or locked, or if it is still locked after
+/// the timeout.
 pub fn lock_directory(folder: &Path) -> Result<Directory, ExperimentError> {
     let started_at = Instant::now();
     loop {
--- a/crates/experiments/src/torture.rs
+++ b/crates/experiments/src/torture.rs
@@ -1,6 +1,7 @@
-//! `torture`: SIGKILL during writes. A process saves numbered states one after another, reports
-//! each save, and is killed at a drawn time. The state that is read back has to be whole, and to be
-//! the last reported one or one whose save had begun since. No other file may be left.
+//! `torture`: checks that snapshots survive SIGKILL during writes. A process saves numbered states
+//! one after another, reports each save, and is killed at a random time. The state that is read
+//! back afterwards has to be complete. It has to be the last one that was reported as saved, or a
+//! later one whose save had begun. The directory must contain no files but the snapshots.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -20,12 +21,13 @@
 use crate::error::{ExperimentError, TortureError};
 use crate::saver::{BEGUN, SAVED, lock_directory};
 
-/// A process is killed within this number of microseconds after its first save has begun, which
-/// leaves time for several saves.
+/// Upper limit, in microseconds, of the time from the first save of a process to its kill; leaves
+/// time for several saves.
 const MAX_KILL_DELAY_MICROS: u64 = 8_000;
-/// Keeps the seeds of the lanes of neighbouring runs apart.
+/// Distance between the seeds of runs with successive `--seed` values, so that no two directories
+/// have the same seed.
 const SEED_STRIDE: u64 = 1 << 20;
-/// The files that may be in a directory.
+/// The only files that a directory may contain.
 const SNAPSHOT_FILES: [&str; 2] = ["memory.0", "memory.1"];
 
 /// Arguments of `torture`.
@@ -46,13 +48,14 @@
     dir: Option<PathBuf>,
 }
 
-/// Result of the kills in one directory.
+/// Totals over the kills in one directory.
 #[derive(Default)]
 struct KillReport {
     kills: u64,
     saves: u64,
-    /// Kills between the beginning and the end of a save.
+    /// Kills between the start and the end of a save.
     kills_during_save: u64,
+    /// Longest time from the start of a process until its first save began.
     slowest_start: Duration,
 }
 
@@ -70,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// If a process cannot be run, or leaves files in a state that must not occur.
+/// Returns an error if a process cannot be run, or if it leaves its files in an invalid state.
 pub fn run(args: &TortureArgs) -> Result<String, ExperimentError> {
     let lanes = args.lanes.max(1);
     let parent = args.dir.clone().unwrap_or_else(std::env::temp_dir);
@@ -135,7 +138,7 @@
         Ok(report)
     }
 
-    /// Runs a process until its first save has begun, and then for this long.
+    /// Starts a process and kills it at this delay after its first save has begun.
     fn start_and_kill(
         &self,
         kill_delay: Duration,
@@ -164,7 +167,7 @@
         Ok(read_progress(first_line, lines, last_state)?)
     }
 
-    /// Checks the files that a killed process has left, and returns the number of the state that is
+    /// Checks the files that a killed process left, and returns the number of the state that is
     /// read back.
     fn check(&self, progress: SaveProgress, kill: u64) -> Result<u64, ExperimentError> {
         let (store, opened) = Store::open(lock_directory(&self.folder)?);
@@ -185,7 +188,7 @@
     }
 }
 
-/// Checks the state that was read back and returns its number, which is 0 if there is none.
+/// Checks the state that was read back and returns its number, or 0 if there is no snapshot.
 fn check_state(progress: SaveProgress, snapshot: Option<Snapshot>) -> Result<u64, TortureError> {
     let SaveProgress { begun, saved } = progress;
     let read_back = snapshot
@@ -204,7 +207,7 @@
     Ok(read_back)
 }
 
-/// Reads the output of a process, from its first line to the end.
+/// Parses the whole output of a process.
 fn read_progress(
     first_line: String,
     rest: std::io::Lines<BufReader<ChildStdout>>,
--- a/crates/experiments/src/trace.rs
+++ b/crates/experiments/src/trace.rs
@@ -1,5 +1,5 @@
-//! `trace`: a digest over every decision of many seeded trials. Two commits whose policies make the
-//! same decisions print the same line.
+//! `trace`: prints a digest over every decision of many seeded trials. Two commits whose policies
+//! make the same decisions print the same line.
 
 use clap::Args;
 use rayon::prelude::*;
@@ -12,11 +12,11 @@
 
 use crate::error::ExperimentError;
 
-/// One trial in this number has the larger fleet.
+/// Every trial whose one-based number is a multiple of this has the larger fleet.
 const TRIALS_PER_GROWN_FLEET: u64 = 10;
-/// Keeps the draws of a case apart from those of its trial.
+/// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 10;
-/// Share of the trials whose build is good.
+/// Share of the trials with a good build.
 const GOOD_SHARE: f64 = 0.5;
 
 /// Arguments of `trace`.
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// If the number of trials is zero.
+/// Returns an error if the number of trials is zero.
 pub fn run(args: &TraceArgs) -> Result<String, ExperimentError> {
     let TraceArgs { seed, runs } = *args;
     if runs == 0 {
@@ -61,8 +61,8 @@
 struct TrialIndex(u64);
 
 impl TrialIndex {
-    /// The case of this trial: confounders and settings profiles in turn, good and bad builds
-    /// drawn.
+    /// Returns the case of this trial. The trials cycle through confounders and settings profiles,
+    /// and the behavior of the build is drawn at random.
     fn case(self, first_seed: u64) -> TrialCase {
         let seed = first_seed.wrapping_add(self.0);
         let mut random = RandomStream::new(seed, CASE_STREAM);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The profile changes each time that all confounders have had a trial.
+    /// Returns the settings profile, which alternates after each cycle through all confounders.
     fn profile(self) -> SettingsProfile {
         if (self.0 / Confounder::ALL.len() as u64).is_multiple_of(2) {
             SettingsProfile::Standard
--- a/crates/experiments/src/units.rs
+++ b/crates/experiments/src/units.rs
@@ -1,13 +1,13 @@
-//! Conversion of durations to the numbers in tables, charts and rows.
+//! Conversion of durations to numbers for tables, charts and Parquet files.
 
 use std::time::Duration;
 
-/// Seconds of a duration, in whole microseconds.
+/// Converts a duration to seconds, truncated to whole microseconds.
 pub fn seconds(duration: Duration) -> f64 {
     duration.as_micros() as f64 / 1e6
 }
 
-/// Milliseconds of a duration.
+/// Converts a duration to milliseconds.
 pub fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
