--- a/crates/experiments/src/restart.rs
+++ b/crates/experiments/src/restart.rs
@@ -1,6 +1,6 @@
-//! `restart`: kills and restarts a proxy instance under load, with and without its snapshot,
-//! against substitutes of the systems around it on loopback; and measures the cost of snapshots of
-//! several sizes.
+//! `restart`: kills and restarts a proxy instance under load, with and without its snapshot, with
+//! stand-ins on loopback for the systems around it. Also measures the cost of snapshots of several
+//! sizes.
 
 mod configuration;
 mod instance;
@@ -25,18 +25,20 @@
 use snapshot_cost::SnapshotCost;
 use window::Window;
 
-/// Numbers of endpoints in the snapshots whose cost is measured.
+/// Sizes of the snapshots whose cost is measured, in endpoints.
 const SNAPSHOT_SIZES: [usize; 3] = [10, 400, 5000];
 
-/// A bound on the effect of a snapshot on the answers in a scenario.
+/// A lower bound on the gain from a snapshot in a scenario.
 struct Bound {
     scenario: Scenario,
     window: Window,
-    /// With a snapshot, the share of answers within the objective must be higher by at least this.
+    /// Least difference between the shares of answers within the objective with and without a
+    /// snapshot.
     min_gain: f64,
 }
 
-/// A snapshot has to help while there is trouble, and may cost little if the trouble has ended.
+/// A snapshot has to help while endpoints are faulty. In the other scenarios it may reduce the
+/// share of answers within the objective by a small amount.
 const BOUNDS: [Bound; 3] = [
     Bound {
         scenario: Scenario::FaultyEndpoints,
@@ -76,11 +78,11 @@
     lanes: usize,
 }
 
-/// Paths that all runs use.
+/// Paths that all runs share.
 struct Environment {
     /// The proxy's program.
     program: PathBuf,
-    /// Directory for their files, removed at the end.
+    /// Directory for the files of the runs, removed at the end.
     dir: PathBuf,
 }
 
@@ -89,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// If a run fails, a file cannot be written, or a bound is broken.
+/// Returns an error if a run fails, if a file cannot be written, or if a bound is not met.
 pub fn run(args: &RestartArgs) -> Result<String, ExperimentError> {
     let environment = Environment {
         program: proxy_program(args)?,
@@ -103,7 +105,7 @@
         let number = RunNumber((plans.len() + index) as u64);
         costs.push(SnapshotCost::measure(endpoints, number, &environment)?);
     }
-    // Leftover files are harmless, and an error here must not hide the result.
+    // Files that are not removed do no harm, and an error here must not hide the result.
     let _ = fs::remove_dir_all(&environment.dir);
     let report = Report {
         rows: &rows,
@@ -122,7 +124,7 @@
     Ok(own_path.with_file_name("tidescale"))
 }
 
-/// Every scenario with each seed, without and with a snapshot.
+/// Plans a run of every scenario with each seed, without and with a snapshot.
 fn plan_runs(args: &RestartArgs) -> Vec<RunPlan> {
     let mut plans = Vec::new();
     for index in 0..args.runs {
@@ -157,7 +159,7 @@
     })
 }
 
-/// Checks the bounds: no attempt at a draining endpoint, and [`BOUNDS`].
+/// Checks that no attempt was sent to a draining endpoint, and that [`BOUNDS`] are met.
 fn check_bounds(report: &Report) -> Result<(), ExperimentError> {
     let runs = report
         .rows
--- a/crates/experiments/src/restart/configuration.rs
+++ b/crates/experiments/src/restart/configuration.rs
@@ -1,4 +1,4 @@
-//! The files that a proxy instance starts with: its configuration and the operators' file.
+//! The files with which a proxy instance is started: its configuration and the operators' file.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 /// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListedState {
-    /// It takes new requests.
+    /// The endpoint accepts new requests.
     Ready,
-    /// It takes no new requests.
+    /// The endpoint accepts no new requests.
     Draining,
 }
 
 impl ListedState {
-    /// The state's word in discovery's protocol.
+    /// Returns the word for the state in discovery's protocol.
     fn protocol_word(self) -> &'static str {
         match self {
             ListedState::Ready => "active",
@@ -31,18 +31,18 @@
 
 /// An entry of the endpoint list.
 pub(super) struct ListedEndpoint<'a> {
-    /// Its name.
+    /// Name of the endpoint.
     pub(super) name: &'a str,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub(super) address: SocketAddr,
-    /// The build that it runs.
+    /// Build that the endpoint runs.
     pub(super) build: BuildNumber,
-    /// Its state.
+    /// State of the endpoint.
     pub(super) state: ListedState,
 }
 
 impl ListedEndpoint<'_> {
-    /// The entry in discovery's protocol.
+    /// Encodes the entry in discovery's protocol.
     pub(super) fn to_json(&self) -> Value {
         json!({
             "id": self.name, "addr": self.address.to_string(), "zone": "z1", "kind": "k", "cell": 0,
@@ -51,29 +51,29 @@
     }
 }
 
-/// A complete endpoint list in discovery's protocol.
+/// Encodes a complete endpoint list in discovery's protocol.
 pub(super) fn endpoint_list(entries: &[Value]) -> Value {
     json!({"version": 7, "full": true, "servers": entries})
 }
 
 /// The configuration of a proxy instance in a small deployment.
 pub(super) struct Configuration<'a> {
-    /// Where it listens.
+    /// Address on which the instance listens.
     pub(super) listen: SocketAddr,
     /// Address of discovery.
     pub(super) discovery: SocketAddr,
     /// Address of the platform.
     pub(super) platform: SocketAddr,
-    /// The endpoint list at its start.
+    /// Endpoint list at the start of the instance.
     pub(super) known_endpoints: &'a Value,
-    /// The rollout's state at its start.
+    /// State of the rollout at the start of the instance.
     pub(super) announcement: Announcement,
-    /// Seed of its random draws.
+    /// Seed of the instance's random numbers.
     pub(super) seed: u64,
 }
 
 impl Configuration<'_> {
-    /// Writes the configuration file into this directory and returns its path.
+    /// Writes the configuration file into a directory and returns its path.
     pub(super) fn write(&self, dir: &Path) -> Result<PathBuf, ExperimentError> {
         let path = dir.join("config.json");
         fs::write(&path, self.to_json().to_string()).map_err(ExperimentError::at(&path))?;
@@ -105,7 +105,7 @@
     }
 }
 
-/// The settings, with one route and times in milliseconds.
+/// Returns the settings, which have one route. Times are in milliseconds.
 fn settings() -> Value {
     json!({
         "me": 0, "balancers": 1, "zone": "z1", "zones": ["z1"], "parties": [],
@@ -125,7 +125,7 @@
 
 /// Where and how often an instance saves its snapshot.
 pub(super) struct SnapshotSettings<'a> {
-    /// The directory of the snapshots.
+    /// Directory of the snapshots.
     pub(super) folder: &'a Path,
     /// Time between two saves, in the syntax of the operators' file.
     pub(super) interval: &'a str,
@@ -134,7 +134,7 @@
 }
 
 impl SnapshotSettings<'_> {
-    /// Writes the operators' file into this directory and returns its path.
+    /// Writes the operators' file into a directory and returns its path.
     pub(super) fn write(&self, dir: &Path) -> Result<PathBuf, ExperimentError> {
         let mut text = format!(
             "[memory]\nfolder = \"{}\"\nevery = \"{}\"\n",
--- a/crates/experiments/src/restart/instance.rs
+++ b/crates/experiments/src/restart/instance.rs
@@ -1,4 +1,4 @@
-//! A proxy instance as a process: its start, its log and its shutdown.
+//! Starts and stops a proxy instance as a process, and reads its log.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,12 +9,13 @@
 
 use crate::error::ExperimentError;
 
-/// The start of an instance fails if it does not listen after this time.
+/// Time limit for an instance to start listening.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two checks whether it listens, which is the precision of the measured start-up
-/// time.
+/// Time between two checks whether an instance listens; limits the precision of the measured
+/// start-up time.
 const START_POLL: Duration = Duration::from_millis(1);
-/// Each run has its own address in 127.9.0.0/16; this many runs share a third byte.
+/// Number of runs whose addresses have the same third byte. Each run has its own address in
+/// 127.9.0.0/16.
 const ADDRESSES_PER_BYTE: u64 = 250;
 
 /// Number of a run, which determines its address and its directory.
@@ -23,22 +24,22 @@
 
 /// How an instance is started.
 pub(super) struct Launch<'a> {
-    /// The program.
+    /// Path of the proxy's program.
     pub(super) program: &'a Path,
-    /// Its configuration file.
+    /// Path of the configuration file.
     pub(super) configuration: &'a Path,
-    /// The operators' file, if there is one.
+    /// Path of the operators' file, if there is one.
     pub(super) operators_file: Option<PathBuf>,
-    /// The address on which it will listen.
+    /// Address on which the instance will listen, from its configuration.
     pub(super) listen: SocketAddr,
 }
 
-/// A running instance; it is killed when it is dropped.
+/// A running instance, which is killed when this value is dropped.
 pub(super) struct ProxyInstance {
     process: Child,
-    /// Reads its log to the end; taken when the log is returned.
+    /// Reads the log of the instance to the end; `None` once the log has been returned.
     log_reader: Option<JoinHandle<String>>,
-    /// Time from its start until it listened.
+    /// Time from the start of the process until it listened.
     pub(super) start_up_time: Duration,
 }
 
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Stops it by SIGTERM after this time and returns its log.
+    /// Waits for this time, stops the instance with SIGTERM, and returns its log.
     pub(super) fn stop_after(mut self, time: Duration) -> Result<String, ExperimentError> {
         thread::sleep(time);
         Command::new("kill")
@@ -114,26 +115,27 @@
     Ok(())
 }
 
-/// Kills a process and waits for its end. A process that has already ended is not an error.
+/// Kills a process and waits until it has exited. Ignores errors, as the process may already have
+/// exited.
 fn kill(process: &mut Child) {
     let _ = process.kill();
     let _ = process.wait();
 }
 
-/// Reads a log while it is written, because a full pipe would block the instance.
+/// Reads the log on a thread while it is written, because a full pipe would block the instance.
 fn read_log(process: &mut Child) -> JoinHandle<String> {
     let stderr = process.stderr.take();
     thread::spawn(move || {
         let mut text = String::new();
         if let Some(mut stderr) = stderr {
-            // If reading fails, the log is what was read before.
+            // If reading fails, the log consists of what was read before.
             let _ = stderr.read_to_string(&mut text);
         }
         text
     })
 }
 
-/// An address that only this run uses, with a port that was free just before.
+/// Returns an address that only this run uses, with a port that was free when it was checked.
 pub(super) fn run_address(run: RunNumber) -> Result<SocketAddr, ExperimentError> {
     let RunNumber(number) = run;
     let third_byte = (number / ADDRESSES_PER_BYTE) as u8;
@@ -141,7 +143,7 @@
     free_address(Ipv4Addr::new(127, 9, third_byte, fourth_byte))
 }
 
-/// A port of this address that was free just before.
+/// Returns this IP address with a port that was free when it was checked.
 pub(super) fn free_address(ip: Ipv4Addr) -> Result<SocketAddr, ExperimentError> {
     TcpListener::bind((ip, 0))
         .and_then(|listener| listener.local_addr())
--- a/crates/experiments/src/restart/load.rs
+++ b/crates/experiments/src/restart/load.rs
@@ -1,4 +1,4 @@
-//! The clients of a run.
+//! The load of a run: clients that send requests at regular intervals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 const CLIENTS: u64 = 24;
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Under low traffic the interval is multiplied by this factor.
+/// Factor by which the interval is longer in the scenario with low traffic.
 const LOW_TRAFFIC_FACTOR: u32 = 3;
 
-/// Clients that send requests until they are stopped.
+/// Clients that send requests until the load generator is stopped.
 pub(super) struct LoadGenerator {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<ClientAnswer>>>,
 }
 
 impl LoadGenerator {
-    /// Starts the clients of an instance.
+    /// Starts the clients, which send their requests to the instance at this address.
     pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> LoadGenerator {
         let stop = Arc::new(AtomicBool::new(false));
         let interval = match scenario {
--- a/crates/experiments/src/restart/report.rs
+++ b/crates/experiments/src/restart/report.rs
@@ -1,4 +1,4 @@
-//! The runs as rows of a Parquet file, as Markdown tables and as charts.
+//! Writes the results of the runs as a Parquet file, as Markdown tables and as charts.
 
 use std::fs;
 use std::path::Path;
@@ -11,12 +11,12 @@
 use crate::error::ExperimentError;
 use crate::parquet_table::{self, Column};
 
-/// Figures below this are written with three decimals, others without.
+/// Values below this are printed with three decimals, others without.
 const DECIMALS_BELOW: f64 = 10.0;
 
 const COST_TABLE_HEAD: &str = "\n| endpoints | bytes | encode ms | decode ms | start-up with ms | start-up without ms | longest slice us | longest iteration us with | without |\n| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n";
 
-/// A figure of a run, and its line in the table.
+/// A measured value of a run, which has a line in the table of medians.
 struct Metric {
     name: &'static str,
     value: fn(&RunRow) -> f64,
@@ -65,16 +65,16 @@
     },
 ];
 
-/// All measurements.
+/// The results of all runs and measurements.
 pub(super) struct Report<'a> {
-    /// The runs.
+    /// Results of the runs.
     pub(super) rows: &'a [RunRow],
-    /// The cost of snapshots.
+    /// Cost of the snapshots.
     pub(super) costs: &'a [SnapshotCost],
 }
 
 impl Report<'_> {
-    /// Prints the tables, and writes tables, rows and charts into this directory.
+    /// Prints the tables, and writes tables, Parquet file and charts into a directory.
     pub(super) fn write(&self, out: &Path) -> Result<(), ExperimentError> {
         self.write_rows(&out.join("rows.parquet"))?;
         let text = self.metric_table() + &self.cost_table();
@@ -85,7 +85,8 @@
         self.write_votes_chart(&out.join("found.svg"))
     }
 
-    /// The median of a figure over the runs of a scenario that have it; NaN if none has.
+    /// Returns the median of a metric over the runs of a scenario in which it is finite, or NaN if
+    /// there are none.
     pub(super) fn median_of(
         &self,
         scenario: Scenario,
@@ -133,7 +134,8 @@
         parquet_table::write(path, &columns)
     }
 
-    /// A line for each figure with its medians by scenario, without and with a snapshot.
+    /// Formats a table with a line for each metric: its medians by scenario, without and with a
+    /// snapshot.
     fn metric_table(&self) -> String {
         let headings: Vec<String> = Scenario::ALL
             .iter()
@@ -173,7 +175,7 @@
         text
     }
 
-    /// Writes the chart of shares within the objective, by scenario and window.
+    /// Writes the chart of the shares of answers within the objective, by scenario and window.
     fn write_answers_chart(&self, path: &Path) -> Result<(), ExperimentError> {
         let medians = |kind| {
             let mut values = Vec::new();
@@ -203,7 +205,7 @@
         chart.write(path)
     }
 
-    /// Writes the chart of times to the first rollback vote.
+    /// Writes the chart of the times from the restart to the first rollback vote.
     fn write_votes_chart(&self, path: &Path) -> Result<(), ExperimentError> {
         let median = |kind| self.median_of(Scenario::BadBuild, kind, |row| row.rollback_vote_ms);
         let chart = BarChart {
@@ -217,7 +219,7 @@
     }
 }
 
-/// The two series of a chart.
+/// Returns the two series of a chart, without and with a snapshot.
 fn series_by_kind(values: impl Fn(RestartKind) -> Vec<f64>) -> [Series<'static>; 2] {
     [
         Series {
--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -1,5 +1,5 @@
-//! One run: an instance is killed and restarted under load, and the answers to requests after that
-//! are measured.
+//! A single run: kills and restarts an instance under load, and measures the answers to requests
+//! after the restart.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -23,62 +23,62 @@
 use crate::stand_ins::{Behavior, ClientAnswer, StandInEndpoint, StandInPlatform, start_discovery};
 use crate::units::milliseconds;
 
-/// Latency objective of the only route in the instance's settings.
+/// Latency objective of the only route; equal to `target` in the instance's settings.
 const OBJECTIVE: Duration = Duration::from_millis(200);
 /// Time under load before the kill.
 const BEFORE_KILL: Duration = Duration::from_secs(7);
-/// The kill is delayed by less than this, depending on the seed.
+/// Upper limit of the random delay of the kill, in milliseconds; the delay depends on the seed.
 const KILL_JITTER_MS: u64 = 400;
 /// Time under load after the restart.
 const AFTER_RESTART: Duration = Duration::from_secs(10);
-/// Mean time until an answer of a healthy endpoint.
+/// Mean response time of a healthy endpoint, in milliseconds.
 const HEALTHY_DELAY_MS: u64 = 16;
-/// Mean time until an answer of the slow endpoint, which is over the objective.
+/// Mean response time of the slow endpoint, in milliseconds; exceeds the objective.
 const SLOW_DELAY_MS: u64 = 320;
-/// Percentage of the requests that fail at the candidate.
+/// Percentage of the requests to the candidate that fail.
 const CANDIDATE_ERRORS_PERCENT: u64 = 8;
 
 /// The plan of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RunPlan {
-    /// Its number.
+    /// Number of the run.
     pub(super) number: RunNumber,
-    /// The trouble around the restart.
+    /// Faults during the run.
     pub(super) scenario: Scenario,
     /// Whether the instance saves a snapshot and starts with it.
     pub(super) kind: RestartKind,
-    /// Seed of the instance and of the time of the kill.
+    /// Seed of the instance's random numbers and of the time of the kill.
     pub(super) seed: u64,
 }
 
-/// Results of a run. Figures that its scenario lacks are NaN.
+/// Results of a run. Values that do not apply to its scenario are NaN.
 pub(super) struct RunRow {
-    /// The trouble around the restart.
+    /// Faults during the run.
     pub(super) scenario: Scenario,
     /// Seed of the run.
     pub(super) seed: u64,
     /// Whether the instance started with a snapshot.
     pub(super) kind: RestartKind,
-    /// Share of the requests that were answered within the objective.
+    /// Share of the requests after the restart that were answered within the objective.
     pub(super) within_objective: ByWindow,
     /// Attempts at the slow endpoint after the restart.
     pub(super) attempts_at_slow: f64,
-    /// Attempts at the unresponsive endpoint.
+    /// Attempts at the unresponsive endpoint after the restart.
     pub(super) attempts_at_unresponsive: f64,
-    /// Attempts at the draining endpoint.
+    /// Attempts at the draining endpoint after the restart.
     pub(super) attempts_at_draining: f64,
-    /// Attempts at the build under evaluation.
+    /// Attempts at endpoints with the candidate after the restart.
     pub(super) attempts_at_candidate: f64,
-    /// Milliseconds from the restart to the first vote to roll the bad build back.
+    /// Milliseconds from the restart to the first vote to roll back the bad build.
     pub(super) rollback_vote_ms: f64,
     /// Attempts at the slow or formerly slow endpoint in the second half of the time after the
-    /// restart, relative to an even share.
+    /// restart, relative to an even distribution.
     pub(super) slow_endpoint_share: f64,
     /// Milliseconds from the restart until the instance listened.
     pub(super) start_up_ms: f64,
 }
 
-/// Carries out a plan.
+/// Executes a plan and returns the results.
 pub(super) fn run(plan: &RunPlan, environment: &Environment) -> Result<RunRow, ExperimentError> {
     let testbed = Testbed::set_up(*plan, environment)?;
     let running_instance = testbed.start_instance(environment)?;
@@ -87,12 +87,12 @@
     drop(running_instance);
     testbed.recover_endpoints();
     let measurements = testbed.measure_restart(environment, load)?;
-    // Leftover files are harmless, and an error here must not hide the result.
+    // Files that are not removed do no harm, and an error here must not hide the result.
     let _ = fs::remove_dir_all(&testbed.dir);
     Ok(testbed.row(&measurements))
 }
 
-/// Everything around the instance.
+/// The systems around the instance, and its files.
 struct Testbed {
     plan: RunPlan,
     endpoints: Vec<StandInEndpoint>,
@@ -103,7 +103,7 @@
     operators_file: PathBuf,
 }
 
-/// Number of requests that each endpoint had received at some time.
+/// Number of requests that each endpoint has received up to some time, by list position.
 struct RequestCounts(Vec<f64>);
 
 impl RequestCounts {
@@ -119,9 +119,9 @@
     answers: Vec<ClientAnswer>,
     first_rollback_vote: Option<Instant>,
     requests_at_kill: RequestCounts,
-    /// In the middle of the time after the restart.
+    /// Counts in the middle of the time after the restart.
     requests_halfway: RequestCounts,
-    /// At the end of the time after the restart.
+    /// Counts at the end of the time after the restart.
     requests_at_end: RequestCounts,
 }
 
@@ -182,8 +182,8 @@
         &self.endpoints[endpoint.0].behavior
     }
 
-    /// Waits until the instance has learned its baselines, then makes one endpoint unresponsive,
-    /// except in the scenario with a bad build.
+    /// Waits until the instance has learned its baselines, makes one endpoint unresponsive, except
+    /// in the scenario with a bad build, and waits until the time of the kill.
     fn run_until_kill(&self) {
         let mut random = Rand64::new(u128::from(self.plan.seed));
         let jitter = Duration::from_millis(random.rand_u64() % KILL_JITTER_MS);
@@ -195,7 +195,8 @@
         thread::sleep(BEFORE_KILL / 2);
     }
 
-    /// Ends the trouble while the instance is down, in the scenario that requires it.
+    /// Ends the faults of the slow and the unresponsive endpoint in the scenario where they recover
+    /// while the instance is down.
     fn recover_endpoints(&self) {
         if self.plan.scenario == Scenario::RecoveredEndpoints {
             let slow = self.behavior(SLOW_ENDPOINT);
@@ -266,7 +267,7 @@
 }
 
 impl Measurements {
-    /// Share of the requests of a window that were answered within the objective.
+    /// Returns the share of the requests in a window that were answered within the objective.
     fn within_objective(&self, window: Window) -> f64 {
         let end = self.restarted_at + window.length();
         let mut total = 0_usize;
@@ -280,13 +281,13 @@
         within as f64 / total.max(1) as f64
     }
 
-    /// Attempts at an endpoint after the restart.
+    /// Returns the number of attempts at an endpoint after the restart.
     fn attempts_at(&self, endpoint: ListPosition) -> f64 {
         self.requests_at_end.at(endpoint) - self.requests_at_kill.at(endpoint)
     }
 
-    /// Attempts at an endpoint in the second half of the time after the restart, relative to the
-    /// mean of the endpoints that got any.
+    /// Returns the number of attempts at an endpoint in the second half of the time after the
+    /// restart, relative to the mean over the endpoints that received any.
     fn late_share_of(&self, endpoint: ListPosition) -> f64 {
         let late: Vec<f64> = self
             .requests_at_end
--- a/crates/experiments/src/restart/scenario.rs
+++ b/crates/experiments/src/restart/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: the trouble around a restart.
+//! The scenarios: which faults there are before and after a restart.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::configuration::ListedState;
 use crate::stand_ins::{AnnouncedPhase, Announcement};
 
-/// The build that serves before any rollout.
+/// The build that serves before a rollout.
 pub(super) const BASELINE_BUILD: BuildNumber = BuildNumber::new(41);
 /// The build that is rolled out.
 const CANDIDATE_BUILD: BuildNumber = BuildNumber::new(42);
@@ -18,11 +18,11 @@
 
 /// Number of endpoints of a run.
 pub(super) const ENDPOINTS: usize = 8;
-/// The endpoint that is slow.
+/// Position of the slow endpoint.
 pub(super) const SLOW_ENDPOINT: ListPosition = ListPosition(0);
-/// The endpoint that does not respond.
+/// Position of the unresponsive endpoint.
 pub(super) const UNRESPONSIVE_ENDPOINT: ListPosition = ListPosition(1);
-/// The endpoint that is draining.
+/// Position of the draining endpoint.
 pub(super) const DRAINING_ENDPOINT: ListPosition = ListPosition(2);
 /// Number of endpoints that run the candidate if there is one; they come first in the list.
 pub(super) const CANDIDATE_ENDPOINTS: usize = 3;
@@ -30,39 +30,39 @@
 /// Whether an instance saves a snapshot and starts with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RestartKind {
-    /// It starts with nothing learned.
+    /// The instance starts without learned state.
     WithoutSnapshot,
-    /// It starts with what it had learned before.
+    /// The instance starts with the state that it had learned before the kill.
     WithSnapshot,
 }
 
 impl RestartKind {
-    /// Both, in the order of the tables.
+    /// Both kinds, in the order of the tables.
     pub(super) const ALL: [RestartKind; 2] =
         [RestartKind::WithoutSnapshot, RestartKind::WithSnapshot];
 }
 
-/// The trouble around a restart.
+/// The faults before and after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scenario {
     /// One endpoint is slow, one does not respond, and one is draining.
     FaultyEndpoints,
-    /// The same, but the first two have recovered before the instance is restarted.
+    /// The same faults, but the slow and the unresponsive endpoint recover before the restart.
     RecoveredEndpoints,
-    /// Traffic is low, and a build under evaluation fails one request in twelve, which the instance
-    /// had detected before its restart.
+    /// Traffic is low, and the candidate fails one request in twelve, which the instance has
+    /// detected before the kill.
     BadBuild,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios, in the order of the tables.
     pub(super) const ALL: [Scenario; 3] = [
         Scenario::FaultyEndpoints,
         Scenario::RecoveredEndpoints,
         Scenario::BadBuild,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the scenario in tables.
     pub(super) fn name(self) -> &'static str {
         match self {
             Scenario::FaultyEndpoints => "trouble",
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The rollout's state throughout a run.
+    /// Returns the state of the rollout, which is the same throughout a run.
     pub(super) fn announcement(self) -> Announcement {
         match self {
             Scenario::FaultyEndpoints | Scenario::RecoveredEndpoints => RELEASED,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The build that an endpoint runs.
+    /// Returns the build that an endpoint runs.
     pub(super) fn build_of(self, endpoint: ListPosition) -> BuildNumber {
         if self == Scenario::BadBuild && endpoint.0 < CANDIDATE_ENDPOINTS {
             CANDIDATE_BUILD
@@ -93,7 +93,7 @@
         }
     }
 
-    /// An endpoint's state in the endpoint list.
+    /// Returns the state of an endpoint in the endpoint list.
     pub(super) fn listed_state_of(self, endpoint: ListPosition) -> ListedState {
         if self != Scenario::BadBuild && endpoint == DRAINING_ENDPOINT {
             ListedState::Draining
@@ -103,7 +103,7 @@
     }
 }
 
-/// The baseline has been serving everywhere for some seconds.
+/// Announces that the baseline is released, and has been for some seconds.
 pub(super) const RELEASED: Announcement = Announcement {
     build: BASELINE_BUILD,
     stage: StageIndex::new(1),
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -23,19 +23,19 @@
 use crate::error::ExperimentError;
 use crate::units::milliseconds;
 
-/// How long an instance runs, which is enough for several saves.
+/// How long an instance runs; long enough for several saves.
 const RUN_TIME: Duration = Duration::from_secs(3);
-/// Slowdowns that the snapshots store for each endpoint.
+/// Slowdown that the snapshots store for each endpoint.
 const SLOWDOWN: WeightedSum = WeightedSum {
     sum: 3.5,
     weight: 4.0,
 };
-/// Log key of the longest time for which collecting a snapshot has blocked the event loop.
+/// Log key of the longest time for which the collection of a snapshot blocked the event loop.
 const LONGEST_SLICE_KEY: &str = "longest_slice_us: ";
 /// Log key of the longest iteration of the event loop.
 const LONGEST_ITERATION_KEY: &str = "longest_turn_us: ";
 
-/// The cost of a snapshot of some number of endpoints.
+/// The cost of a snapshot of a given number of endpoints.
 pub(super) struct SnapshotCost {
     /// Number of endpoints in the snapshot.
     pub(super) endpoints: usize,
@@ -45,15 +45,16 @@
     pub(super) encode_ms: f64,
     /// Milliseconds to decode the snapshot.
     pub(super) decode_ms: f64,
-    /// Milliseconds until an instance listens that starts with the snapshot.
+    /// Milliseconds until an instance that starts with the snapshot listens.
     pub(super) start_up_with_ms: f64,
-    /// The same without a snapshot.
+    /// Milliseconds until an instance that starts without a snapshot listens.
     pub(super) start_up_without_ms: f64,
-    /// Longest time in microseconds for which collecting a snapshot has blocked the event loop.
+    /// Microseconds of the longest time for which the collection of a snapshot blocked the event
+    /// loop.
     pub(super) longest_slice_us: f64,
     /// Microseconds of the longest iteration of the event loop, with snapshots.
     pub(super) longest_iteration_with_us: f64,
-    /// The same without snapshots.
+    /// Microseconds of the longest iteration of the event loop, without snapshots.
     pub(super) longest_iteration_without_us: f64,
 }
 
@@ -65,7 +66,8 @@
 }
 
 impl SnapshotCost {
-    /// Measures the cost. The instances listen on the address of the run with this number.
+    /// Measures the cost of a snapshot of this many endpoints. The instances listen on the address
+    /// of the run with this number.
     pub(super) fn measure(
         endpoints: usize,
         run: RunNumber,
@@ -93,7 +95,7 @@
         save_snapshot(&folder, &encoded.bytes)?;
         launch.operators_file = Some(operators_file);
         let with = InstanceRun::measure(&launch)?;
-        // Leftover files are harmless, and an error here must not hide the result.
+        // Files that are not removed do no harm, and an error here must not hide the result.
         let _ = fs::remove_dir_all(&dir);
         Ok(SnapshotCost {
             endpoints,
@@ -109,7 +111,7 @@
     }
 }
 
-/// The run of an instance for [`RUN_TIME`].
+/// Start-up time and log of an instance that ran for [`RUN_TIME`].
 struct InstanceRun {
     start_up_time: Duration,
     log: String,
@@ -153,7 +155,7 @@
     }
 }
 
-/// The records of one endpoint: its entry in the list, its latency and load, and its outcomes.
+/// Returns the records of one endpoint: list entry, latency and load, and outcomes.
 fn records_of(position: ListPosition, observed_at: Timestamp) -> [Record; 3] {
     let process = Process {
         endpoint: endpoint_name(position),
@@ -199,7 +201,7 @@
     format!("s-{:08x}", position.0)
 }
 
-/// An address on loopback on which nothing listens.
+/// Returns the loopback address of an endpoint; nothing listens on it.
 fn endpoint_address(position: ListPosition) -> SocketAddr {
     const ADDRESSES_PER_BYTE: usize = 250;
     const PORT: u16 = 5432;
@@ -209,8 +211,8 @@
     SocketAddr::from(([127, 10, third_byte, fourth_byte], PORT))
 }
 
-/// Writes the configuration of an instance that has the endpoint list from its start and can reach
-/// neither discovery nor the platform.
+/// Writes the configuration of an instance that knows the endpoint list from its start and can
+/// reach neither discovery nor the platform.
 fn write_configuration(
     endpoints: usize,
     listen: SocketAddr,
@@ -246,7 +248,7 @@
     fs::write(&path, bytes).map_err(ExperimentError::at(&path))
 }
 
-/// The first whole number after this key in a log.
+/// Returns the whole number after the first occurrence of a key in a log.
 fn logged_metric(log: &str, key: &'static str) -> Result<f64, ExperimentError> {
     log.split(key)
         .nth(1)
--- a/crates/experiments/src/restart/window.rs
+++ b/crates/experiments/src/restart/window.rs
@@ -1,9 +1,9 @@
-//! The windows after a restart in which answers are counted.
+//! Time windows after a restart over which answers are counted.
 
 use std::ops::Index;
 use std::time::Duration;
 
-/// A window that begins with the restart.
+/// A time window that begins with the restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Window {
     /// The first second.
@@ -19,7 +19,7 @@
     pub(super) const ALL: [Window; 3] =
         [Window::OneSecond, Window::ThreeSeconds, Window::TenSeconds];
 
-    /// Its length.
+    /// Returns the length of the window.
     pub(super) fn length(self) -> Duration {
         match self {
             Window::OneSecond => Duration::from_secs(1),
@@ -29,12 +29,12 @@
     }
 }
 
-/// A figure for each window.
+/// A value for each window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ByWindow([f64; Window::ALL.len()]);
 
 impl ByWindow {
-    /// Computes the figure of each window.
+    /// Computes the value for each window.
     pub(super) fn new(value: impl FnMut(Window) -> f64) -> ByWindow {
         ByWindow(Window::ALL.map(value))
     }
--- a/crates/experiments/src/stand_ins.rs
+++ b/crates/experiments/src/stand_ins.rs
@@ -1,8 +1,8 @@
-//! Small substitutes on loopback for the systems around a proxy instance: endpoints, discovery, the
-//! platform and clients.
+//! Stand-ins on loopback for the systems around a proxy instance: endpoints, discovery, the platform
+//! and clients.
 //!
-//! Each runs on its own threads until the process ends. Messages are encoded here from the protocol
-//! specifications and not by the proxy's codecs, so that a mistake in a codec is noticed.
+//! The servers run on their own threads until the process exits. Messages are encoded here from the
+//! protocol specifications and not by the proxy's codecs, so that a mistake in a codec is detected.
 
 mod client;
 mod endpoint;
--- a/crates/experiments/src/stand_ins/client.rs
+++ b/crates/experiments/src/stand_ins/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends a request at regular intervals and records the time until its answer.
+//! A client that sends requests at regular intervals and records the time until each answer.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,46 +11,45 @@
 
 use super::message;
 
-/// A connection attempt is abandoned after this time.
+/// Time limit of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An answer is no longer awaited after this time, which is longer than the deadline that the
-/// requests carry.
+/// Time limit of a read from the connection; longer than the deadline that the requests carry.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Parameters of the start-up message.
 const START_UP_PARAMETERS: &[u8] = b"user\0portal\0database\0crm\0\0";
 
-/// One request and its answer.
+/// The time of a request and of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientAnswer {
     /// When the request was sent.
     pub sent_at: Instant,
-    /// Time until its answer; `None` if there was no answer, or an error.
+    /// Time until its answer; `None` if the request failed or was not answered.
     pub answered_after: Option<Duration>,
 }
 
-/// Number of a client among those of a run.
+/// Number of a client, unique within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientNumber(pub u64);
 
 /// A client of a proxy instance.
 pub struct Client {
-    /// Where the instance listens.
+    /// Address on which the instance listens.
     pub proxy: SocketAddr,
-    /// Distinguishes the requests of this client from those of others.
+    /// Number of this client, from which the ids of its requests are derived.
     pub number: ClientNumber,
     /// Time between two requests.
     pub interval: Duration,
 }
 
-/// An exchange that failed before its end.
+/// The error of an exchange that was interrupted before the end of the answer.
 struct ExchangeError {
     error: io::Error,
-    /// The outcome of the statement had been received by then.
+    /// Whether the outcome of the statement had been received before the error.
     outcome_known: bool,
 }
 
 impl Client {
-    /// Sends requests until `stop` is set.
+    /// Sends requests until `stop` is set, and returns the recorded answers.
     pub fn run(&self, stop: &Arc<AtomicBool>) -> Vec<ClientAnswer> {
         let mut answers = Vec::new();
         let mut connection = None;
@@ -71,13 +70,13 @@
         answers
     }
 
-    /// The id of this client's request with this sequence number, which is below 2^32.
+    /// Returns the id of a request of this client. Sequence numbers have to be below 2^32.
     fn request_id(&self, sequence: u64) -> RequestId {
         RequestId::new(self.number.0 << 32 | sequence)
     }
 
-    /// Sends a request, if possible on the connection of the previous one, and returns whether it
-    /// succeeded.
+    /// Sends a request, on the connection of the previous one if that is still open, and returns
+    /// whether it succeeded.
     fn send(
         &self,
         idle_connection: &mut Option<TcpStream>,
@@ -90,8 +89,8 @@
                     return Ok(succeeded);
                 }
                 Err(failed) if failed.outcome_known => return Err(failed.error),
-                // The idle connection may have been closed: retry once on a new one, which is not
-                // kept.
+                // The proxy may have closed the idle connection: retry once on a new connection,
+                // which is closed afterwards.
                 Err(_) => {
                     let mut stream = self.connect()?;
                     return exchange(&mut stream, request).map_err(|failed| failed.error);
@@ -114,7 +113,7 @@
     }
 }
 
-/// Sends a request, reads its answer to the end, and returns whether it succeeded.
+/// Sends a request, reads the whole answer, and returns whether the request succeeded.
 fn exchange(stream: &mut TcpStream, request: RequestId) -> Result<bool, ExchangeError> {
     let id = request.get();
     let text = format!(
--- a/crates/experiments/src/stand_ins/endpoint.rs
+++ b/crates/experiments/src/stand_ins/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint that answers queries after a delay, with errors, or not at all. The behavior can be
-//! changed while it runs.
+//! An endpoint that answers queries after a delay, with errors, or not at all. Its behavior can be
+//! changed at run time.
 
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -10,37 +10,39 @@
 
 use super::message;
 
-/// Time until the response to a health check.
+/// Delay of the response to a health check.
 const HEALTH_CHECK_DELAY: Duration = Duration::from_micros(300);
-/// How long an unresponsive endpoint keeps a connection open: longer than any run.
+/// How long an unresponsive endpoint keeps a connection open; longer than any run.
 const UNRESPONSIVE_TIME: Duration = Duration::from_secs(60);
 /// Body of the error response to a failed request.
 const ERROR_BODY: &[u8] = b"SERROR\0CXX000\0Mno\0\0";
-/// Type of the only field of a row: `bytea`.
+/// Object id of the type `bytea`, which the only field of a row has.
 const BYTEA_TYPE: u32 = 17;
 
-/// Behavior of an endpoint, which can be changed while it runs.
+/// Behavior of an endpoint, which can be changed at run time.
 #[derive(Default)]
 pub struct Behavior {
-    /// Mean time until an answer, in milliseconds.
+    /// Mean response time in milliseconds.
     pub delay_ms: AtomicU64,
-    /// Percentage of the requests that get an error.
+    /// Percentage of the requests that are answered with an error.
     pub errors_percent: AtomicU64,
-    /// Nothing is answered, not even health checks.
+    /// Whether the endpoint leaves all queries unanswered, also health checks.
     pub unresponsive: AtomicBool,
-    /// Number of requests received, without health checks.
+    /// Number of requests received, not counting health checks.
     pub requests: AtomicU64,
 }
 
 impl Behavior {
-    /// Delay of an answer: between 75% and 125% of the mean, depending on the request's number.
+    /// Returns the delay of an answer, between 75% and 125% of the mean depending on the number of
+    /// the request.
     fn delay_of(&self, request: u64) -> Duration {
         let mean_micros = self.delay_ms.load(Relaxed) * 1000;
         let jitter = mean_micros / 2 * (request * 7 % 16) / 16;
         Duration::from_micros(mean_micros * 3 / 4 + jitter)
     }
 
-    /// Whether a request gets an error; errors are distributed evenly over the requests' numbers.
+    /// Returns whether a request is answered with an error. Errors are distributed evenly over the
+    /// request numbers.
     fn fails(&self, request: u64) -> bool {
         request * 37 % 100 < self.errors_percent.load(Relaxed)
     }
@@ -48,18 +50,18 @@
 
 /// An endpoint on loopback.
 pub struct StandInEndpoint {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its behavior.
+    /// Behavior of the endpoint.
     pub behavior: Arc<Behavior>,
 }
 
 impl StandInEndpoint {
-    /// Starts an endpoint with this mean time until an answer.
+    /// Starts an endpoint with this mean response time in milliseconds.
     ///
     /// # Errors
     ///
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub fn start(delay_ms: u64) -> io::Result<StandInEndpoint> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -69,7 +71,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let behavior = shared.clone();
-                // Broken connections are ignored here; the proxy has to handle them.
+                // Connection errors are ignored here; the proxy has to handle them.
                 thread::spawn(move || drop(serve(stream, &behavior)));
             }
         });
@@ -115,7 +117,7 @@
     message::encode(message::READY_FOR_QUERY, b"I")
 }
 
-/// A result of one row with one field.
+/// Encodes the result of a query: one row with one field.
 fn single_row_result() -> Vec<u8> {
     let field = [
         &b"data\0"[..],
--- a/crates/experiments/src/stand_ins/http_server.rs
+++ b/crates/experiments/src/stand_ins/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that responds with whole bodies or with streams of chunks.
+//! A minimal HTTP/1.1 server that responds with whole bodies or with chunked streams.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -8,26 +8,27 @@
 
 /// Time between two heartbeats on a stream.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Longer requests are truncated; those of the proxy have a few hundred bytes.
+/// Size of the read buffer. Longer requests are truncated; those of the proxy have a few hundred
+/// bytes.
 const MAX_REQUEST_BYTES: usize = 4096;
 
 /// A response to a request.
 pub(super) enum Response {
-    /// A whole body; the connection stays open for further requests.
+    /// A complete body; the connection stays open for further requests.
     Body(String),
-    /// A stream of chunks that stays open.
+    /// A chunked stream that does not end.
     Stream {
-        /// Its content type.
+        /// Content type of the stream.
         content_type: &'static str,
-        /// Its first chunk.
+        /// First chunk of the stream.
         first_chunk: String,
-        /// The chunk that is sent every second from then on.
+        /// Chunk that is sent after the first one and then every second.
         heartbeat: &'static str,
     },
 }
 
-/// Responds to requests on loopback until the process ends. `respond` gets the first bytes of a
-/// request.
+/// Starts a server on loopback that runs until the process exits, and returns its address.
+/// `respond` receives the first bytes of a request.
 pub(super) fn start(
     respond: impl Fn(&str) -> Response + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
@@ -37,7 +38,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let respond = respond.clone();
-            // Broken connections are ignored here; the proxy has to handle them.
+            // Connection errors are ignored here; the proxy has to handle them.
             thread::spawn(move || drop(serve(stream, &*respond)));
         }
     });
--- a/crates/experiments/src/stand_ins/message.rs
+++ b/crates/experiments/src/stand_ins/message.rs
@@ -1,12 +1,12 @@
-//! Messages of the PostgreSQL protocol, version 3: a type, a length that includes itself, and a
-//! body.
+//! Messages of the PostgreSQL protocol, version 3: a type, a length that counts the length field
+//! itself, and a body.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// Number of bytes of the length field.
+/// Size of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of the longest message that is read; longer ones are truncated.
+/// Upper limit of the length of a received message; longer ones are truncated.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Protocol version 3.0 in a start-up message.
 const PROTOCOL_VERSION: u32 = 196_608;
@@ -15,22 +15,22 @@
 pub(super) const QUERY: u8 = b'Q';
 /// Type of the message that ends the response to a query.
 pub(super) const READY_FOR_QUERY: u8 = b'Z';
-/// Type of the message that a statement has succeeded.
+/// Type of the message that reports the success of a statement.
 pub(super) const COMMAND_COMPLETE: u8 = b'C';
-/// Type of the message that a statement has failed.
+/// Type of the message that reports the failure of a statement.
 pub(super) const ERROR_RESPONSE: u8 = b'E';
-/// Type of the message that authentication has succeeded.
+/// Type of the message that reports the success of authentication.
 pub(super) const AUTHENTICATION: u8 = b'R';
-/// Type of the description of the rows that follow.
+/// Type of the message that describes the rows that follow.
 pub(super) const ROW_DESCRIPTION: u8 = b'T';
-/// Type of a row.
+/// Type of the message with a row.
 pub(super) const DATA_ROW: u8 = b'D';
 
 /// A received message.
 pub(super) struct Message {
-    /// Its type.
+    /// Type of the message.
     pub(super) tag: u8,
-    /// The bytes after its length.
+    /// The bytes after the length field.
     pub(super) body: Vec<u8>,
 }
 
--- a/crates/experiments/src/stand_ins/services.rs
+++ b/crates/experiments/src/stand_ins/services.rs
@@ -1,4 +1,4 @@
-//! Discovery and the rollout platform.
+//! Stand-ins for discovery and for the rollout platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 
 use super::http_server::{self, Response};
 
-/// Starts a discovery service whose watch always sends the same endpoint list.
+/// Starts a discovery service that answers every request with a stream of this endpoint list.
 ///
 /// # Errors
 ///
-/// If it cannot listen.
+/// Returns an error if it cannot listen.
 pub fn start_discovery(listing: &str) -> io::Result<SocketAddr> {
     let line = format!("{listing}\n");
     http_server::start(move |_| Response::Stream {
@@ -28,12 +28,12 @@
 pub enum AnnouncedPhase {
     /// The build is under evaluation.
     Canary,
-    /// The build serves everywhere.
+    /// The build serves on all endpoints.
     Released,
 }
 
 impl AnnouncedPhase {
-    /// The phase's word in the platform's protocol.
+    /// Returns the word for the phase in the platform's protocol.
     pub fn protocol_word(self) -> &'static str {
         match self {
             AnnouncedPhase::Canary => "trial",
@@ -45,15 +45,15 @@
 /// The state of a rollout, as the platform announces it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Announcement {
-    /// The newest build.
+    /// The build that the rollout is about.
     pub build: BuildNumber,
-    /// Stage of its evaluation.
+    /// Stage of the evaluation.
     pub stage: StageIndex,
-    /// Phase of its rollout.
+    /// Phase of the rollout.
     pub phase: AnnouncedPhase,
-    /// Share of the requests that may go to it.
+    /// Maximum share of the requests that may be sent to the build.
     pub traffic_cap: f64,
-    /// Time since stage and phase began.
+    /// Time since the stage and phase began.
     pub age: Duration,
 }
 
@@ -91,19 +91,19 @@
     }
 }
 
-/// A platform whose rollout does not change, and that records the times of rollback votes.
+/// A platform that announces an unchanging rollout and records when it receives rollback votes.
 pub struct StandInPlatform {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     rollback_votes: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl StandInPlatform {
-    /// Starts a platform that always announces this state.
+    /// Starts a platform that always announces this rollout state.
     ///
     /// # Errors
     ///
-    /// If it cannot listen.
+    /// Returns an error if it cannot listen.
     pub fn start(announcement: Announcement) -> io::Result<StandInPlatform> {
         let rollback_votes: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let recorded = rollback_votes.clone();
@@ -129,12 +129,14 @@
         })
     }
 
-    /// Forgets the rollback votes received so far.
+    /// Discards the rollback votes received so far.
     pub fn clear_votes(&self) {
         self.votes().clear();
     }
 
-    /// When the first rollback vote was received, without forgotten ones.
+    /// Returns when the first rollback vote since the last [`clear_votes`] was received.
+    ///
+    /// [`clear_votes`]: StandInPlatform::clear_votes
     pub fn first_rollback_vote(&self) -> Option<Instant> {
         self.votes().first().copied()
     }
