--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,7 +1,7 @@
 //! `tidescale-experiments`: a subcommand for each experiment.
 //!
 //! Each experiment prints a summary as its last line, and exits with a non-zero status if a bound
-//! is exceeded. A seed determines the cases that are tested. `disk`, `verdicts` and `trace` run in
+//! is not met. A seed determines the cases that are tested. `disk`, `verdicts` and `trace` run in
 //! simulated time, so a seed also determines their results; `torture` and `restart` run real
 //! processes in real time, so their results vary.
 
--- a/crates/experiments/src/stand_ins.rs
+++ b/crates/experiments/src/stand_ins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for the systems around a proxy instance: endpoints, discovery, the platform
-//! and clients.
+//! Stand-ins on loopback for the systems around a proxy instance: endpoints, discovery, the
+//! platform and clients.
 //!
 //! The servers run on their own threads until the process exits. Messages are encoded here from the
 //! protocol specifications and not by the proxy's codecs, so that a mistake in a codec is detected.
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -1,5 +1,5 @@
-//! `verdicts`: trials of builds whose behavior is known. Measures how many good builds are rolled
-//! back and how many harmful ones are not, and checks the stated rates.
+//! `verdicts`: simulated rollouts of builds whose behavior is known. Measures how many good builds
+//! are rolled back and how many harmful ones are not, and checks both rates against their limits.
 
 mod charts;
 mod interval;
@@ -18,9 +18,9 @@
 use interval::Proportion;
 use trials::TrialRow;
 
-/// The stated rate of good builds rolled back.
+/// Limit on the share of good builds that are rolled back.
 const MAX_FALSE_ROLLBACK_RATE: f64 = 0.01;
-/// The stated rate of harmful builds that are not rolled back.
+/// Limit on the share of harmful builds that are not rolled back.
 const MAX_MISSED_RATE: f64 = 0.05;
 
 /// Size of the simulated deployment.
@@ -44,8 +44,8 @@
     }
 }
 
-/// What decides on a rollback: the policy, or one of two wrong deciders that the experiment must
-/// detect.
+/// What decides on a rollback: the policy, or one of two faulty deciders whose rates the experiment
+/// has to find over the limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Decider {
     /// Votes of the policy.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// Returns the name of the decider in tables.
     fn name(self) -> &'static str {
         match self {
             Decider::Policy => "votes of the policy",
@@ -98,7 +98,7 @@
     out: Option<PathBuf>,
 }
 
-/// The measured values of the two stated rates.
+/// The measured proportions to which the limits apply.
 struct Rates {
     false_rollbacks: Proportion,
     missed: Proportion,
@@ -134,14 +134,15 @@
         )
     }
 
-    /// Compares the upper ends of the confidence intervals with the stated rates.
+    /// Checks that the confidence intervals lie within the limits, and returns the summary if they
+    /// do.
     fn check(&self, summary: String) -> Result<String, ExperimentError> {
         let false_rollbacks = self.false_rollbacks.interval();
         let missed = self.missed.interval();
         if false_rollbacks.upper <= MAX_FALSE_ROLLBACK_RATE && missed.upper <= MAX_MISSED_RATE {
             return Ok(summary);
         }
-        // With few trials the interval may exceed a rate that is in fact kept.
+        // With few trials the upper end of an interval may exceed a limit that is in fact kept.
         let is_broken =
             false_rollbacks.lower > MAX_FALSE_ROLLBACK_RATE || missed.lower > MAX_MISSED_RATE;
         Err(ExperimentError::RatesNotConfirmed {
@@ -157,7 +158,8 @@
 ///
 /// # Errors
 ///
-/// If the trials do not show that the stated rates are kept, or a file cannot be written.
+/// Returns an error if the trials do not confirm that the rates are within their limits, or if a
+/// file cannot be written.
 pub fn run(args: &VerdictsArgs) -> Result<String, ExperimentError> {
     let size = args.fleet.size();
     let rows: Vec<TrialRow> = (0..args.runs)
@@ -185,7 +187,7 @@
     )
 }
 
-/// Seconds from the offer of each harmful build to its rollback, sorted.
+/// Returns the seconds from the offer of each harmful build to its rollback, in ascending order.
 fn times_to_rollback(rows: &[TrialRow]) -> Vec<f64> {
     let mut times: Vec<f64> = rows
         .iter()
--- a/crates/experiments/src/verdicts/charts.rs
+++ b/crates/experiments/src/verdicts/charts.rs
@@ -1,4 +1,4 @@
-//! The trials as charts.
+//! Charts of the trial results.
 
 use std::ops::Range;
 use std::path::Path;
@@ -7,13 +7,13 @@
 use crate::bar_chart::{BarChart, Series};
 use crate::error::ExperimentError;
 
-/// Builds whose harm is within a range.
+/// A group of builds whose harm lies within a range.
 struct HarmGroup {
     name: &'static str,
     harm: Range<f64>,
 }
 
-/// The groups of the operating curve besides the good builds.
+/// The groups of the operating characteristic, besides the good builds.
 const HARM_GROUPS: [HarmGroup; 7] = [
     HarmGroup {
         name: "under 1%",
@@ -45,12 +45,12 @@
     },
 ];
 
-/// Number of bars in the chart of times.
+/// Number of bars in the chart of times; later rollbacks are not shown.
 const TIME_BARS: usize = 8;
-/// Seconds for each bar: one stage of the rollout.
+/// Width of a bar in seconds, which is the length of one stage of the rollout.
 const SECONDS_PER_BAR: usize = 4;
 
-/// Writes the operating curve: the share of builds that are rolled back, by the harm that they do.
+/// Writes the operating characteristic: the share of builds that are rolled back, by their harm.
 pub(super) fn write_operating_curve(path: &Path, rows: &[TrialRow]) -> Result<(), ExperimentError> {
     let mut names = vec!["good"];
     let mut shares = vec![rolled_back_share(rows, TrialRow::is_good)];
@@ -72,7 +72,7 @@
     chart.write(path)
 }
 
-/// Writes the histogram of the times to the rollback of harmful builds.
+/// Writes the histogram of the seconds from the offer of a harmful build to its rollback.
 pub(super) fn write_times(path: &Path, times: &[f64]) -> Result<(), ExperimentError> {
     let names: Vec<String> = (0..TIME_BARS)
         .map(|bar| format!("{} s", SECONDS_PER_BAR * bar))
@@ -95,7 +95,7 @@
     chart.write(path)
 }
 
-/// Share of the builds in a group that are rolled back; NaN if there are none.
+/// Returns the share of the builds in a group that are rolled back, or NaN if the group is empty.
 fn rolled_back_share(rows: &[TrialRow], in_group: impl Fn(&TrialRow) -> bool) -> f64 {
     let mut total = 0_usize;
     let mut rolled_back = 0_usize;
--- a/crates/experiments/src/verdicts/interval.rs
+++ b/crates/experiments/src/verdicts/interval.rs
@@ -1,16 +1,16 @@
-//! Proportions of trials, with exact confidence intervals.
+//! Proportions with exact confidence intervals.
 
 use statrs::distribution::{Beta, ContinuousCDF};
 
 /// Confidence level of the intervals.
 const CONFIDENCE: f64 = 0.95;
 
-/// How many of a number of rows have a property.
+/// The number of rows that have a property, out of all rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Proportion {
-    /// Rows that have the property.
+    /// Number of rows that have the property.
     pub(super) matching: usize,
-    /// All rows.
+    /// Number of all rows.
     pub(super) total: usize,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Proportion {
-    /// The proportion of these rows that have a property.
+    /// Counts the rows that have a property.
     pub(super) fn of<'a, Row: 'a>(
         rows: impl Iterator<Item = &'a Row>,
         property: impl Fn(&Row) -> bool,
@@ -42,12 +42,12 @@
         self.total += 1;
     }
 
-    /// The proportion as a number; 0 if there are no rows.
+    /// Returns the proportion as a number from 0 to 1, or 0 if there are no rows.
     pub(super) fn share(self) -> f64 {
         self.matching as f64 / self.total.max(1) as f64
     }
 
-    /// The exact confidence interval of Clopper and Pearson.
+    /// Returns the exact (Clopper-Pearson) confidence interval of the proportion.
     pub(super) fn interval(self) -> Interval {
         let tail = (1.0 - CONFIDENCE) / 2.0;
         let matching = self.matching as f64;
--- a/crates/experiments/src/verdicts/report.rs
+++ b/crates/experiments/src/verdicts/report.rs
@@ -1,4 +1,4 @@
-//! The trials as Markdown tables and as rows of a Parquet file.
+//! Formats the trial results as Markdown tables and writes them as a Parquet file.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,8 +14,8 @@
 
 const TABLE_HEAD: &str = "| | trials | % | 95% interval |\n| --- | ---: | ---: | ---: |\n";
 
-/// The tables in Markdown. `times` are the seconds from the offer to the rollback of harmful
-/// builds, sorted.
+/// Formats the tables in Markdown. `times` are the seconds from the offer to the rollback of
+/// harmful builds, in ascending order.
 pub(super) fn tables(rows: &[TrialRow], times: &[f64]) -> String {
     let good: Vec<&TrialRow> = rows.iter().filter(|row| row.is_good()).collect();
     let harmful: Vec<&TrialRow> = rows.iter().filter(|row| row.is_harmful()).collect();
@@ -34,7 +34,7 @@
     )
 }
 
-/// Writes a row for each trial.
+/// Writes a Parquet file with a row for each trial.
 pub(super) fn write_rows(path: &Path, rows: &[TrialRow]) -> Result<(), ExperimentError> {
     let optional_seconds = |duration: Option<Duration>| duration.map_or(f64::NAN, seconds);
     let columns = [
@@ -57,7 +57,7 @@
     parquet_table::write(path, &columns)
 }
 
-/// The proportion of some trials that have a property, by group.
+/// A table of the proportions of trials that have a property, by group.
 struct Breakdown<'a> {
     title: &'static str,
     rows: &'a [&'a TrialRow],
@@ -66,7 +66,7 @@
 }
 
 impl Breakdown<'_> {
-    /// The title, and a table with a line for each group that has trials.
+    /// Formats the title and a table with a line for each group that has trials.
     fn table(&self) -> String {
         let mut groups: BTreeMap<&str, Proportion> = BTreeMap::new();
         for row in self.rows {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The breakdowns in the order of the tables.
+/// Returns the breakdowns in the order in which they are printed.
 fn breakdowns<'a>(good: &'a [&'a TrialRow], harmful: &'a [&'a TrialRow]) -> [Breakdown<'a>; 4] {
     [
         Breakdown {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Number of a test in the Parquet file.
+/// Returns the number that stands for a test in the Parquet file.
 fn test_number(test: EvidenceTest) -> f64 {
     match test {
         EvidenceTest::Failures => 0.0,
@@ -143,7 +143,7 @@
     }
 }
 
-/// The value below which this share of the sorted values lies; NaN if there are none.
+/// Returns the value below which this share of the sorted values lies, or NaN if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let index = (share * sorted.len() as f64) as usize;
     sorted.get(index).copied().unwrap_or(f64::NAN)
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -1,4 +1,4 @@
-//! The cases, and the measurements of each: the trial itself, and the harm that its build does.
+//! Draws the cases, runs their trials, and measures the harm that each build does.
 
 use tidescale_simulation::build_behavior::BuildBehavior;
 use tidescale_simulation::case::{FleetSize, RollbackTrigger, SettingsProfile, TrialCase};
@@ -7,25 +7,26 @@
 use tidescale_simulation::random_stream::RandomStream;
 use tidescale_simulation::trial::run_trial;
 
-/// Keeps the draws of a case apart from those of its trial.
+/// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 0;
-/// A build is harmful if at least this share of the served weight is lost when it serves the whole
-/// fleet.
+/// A build is harmful if at least this share of the served weight is lost while it serves on the
+/// whole fleet.
 const HARM_THRESHOLD: f64 = 0.03;
-/// Number of seconds at the end of a trial without votes in which the whole fleet runs the build.
+/// Seconds at the end of a trial over which harm is measured; without votes, the whole fleet runs
+/// the build by then.
 const HARM_WINDOW_SECONDS: usize = 8;
 /// Share of the trials without a confounder.
 const NO_CONFOUNDER_SHARE: f64 = 0.5;
 
-/// One trial: its case and its measurements.
+/// The case and the results of a trial.
 pub(super) struct TrialRow {
     /// Seed of the trial.
     pub(super) seed: u64,
     /// Behavior of the build.
     pub(super) build: BuildBehavior,
-    /// Trouble that the build did not cause.
+    /// Disturbance that the build does not cause.
     pub(super) confounder: Confounder,
-    /// Share of the served weight that is lost because of the build alone.
+    /// Share of the served weight that the build alone loses; 0 for a good build.
     pub(super) harm: f64,
     /// Served weight as a share of the offered weight, over the whole trial.
     pub(super) served_share: f64,
@@ -52,22 +53,22 @@
         }
     }
 
-    /// Whether a rollback of the build would be a false one.
+    /// Returns whether the build is good, so that its rollback would be a false one.
     pub(super) fn is_good(&self) -> bool {
         self.build.is_good()
     }
 
-    /// Whether the build has to be rolled back.
+    /// Returns whether the build is harmful, so that it has to be rolled back.
     pub(super) fn is_harmful(&self) -> bool {
         self.harm >= HARM_THRESHOLD
     }
 
-    /// Whether the build was rolled back.
+    /// Returns whether the build was rolled back.
     pub(super) fn was_rolled_back(&self) -> bool {
         self.outcome.rolled_back_after.is_some()
     }
 
-    /// Whether the build was not rolled back.
+    /// Returns whether the build was not rolled back.
     pub(super) fn has_passed(&self) -> bool {
         !self.was_rolled_back()
     }
@@ -97,10 +98,10 @@
     }
 }
 
-/// Share of the served weight that is lost because of the build alone, measured against a paired
-/// trial of a good build, both without votes and without a confounder.
+/// Measures the share of the served weight that the build alone loses, relative to a paired trial
+/// with a good build. Neither trial has votes or a confounder.
 fn measure_harm(case: TrialCase) -> f64 {
-    /// Keeps the share finite if nothing is served.
+    /// Lower limit of the divisor, which keeps the result finite if nothing is served.
     const MIN_SERVED_SHARE: f64 = 1e-9;
     let first_second = case.size.duration.as_secs() as usize - HARM_WINDOW_SECONDS;
     let served_share = |build: BuildBehavior| {
--- a/crates/experiments/tests/short.rs
+++ b/crates/experiments/tests/short.rs
@@ -1,8 +1,8 @@
-//! Short forms of the experiments, with fixed seeds.
+//! Short runs of the experiments `disk`, `torture`, `verdicts` and `trace` with fixed seeds.
 
 use std::process::Command;
 
-/// The result of a run of the program.
+/// Exit status and output of a run of the program.
 #[derive(Debug, PartialEq, Eq)]
 struct Run {
     succeeded: bool,
@@ -10,7 +10,7 @@
 }
 
 impl Run {
-    /// The last line of the output.
+    /// Returns the last line of the output.
     fn summary(&self) -> &str {
         self.output.lines().last().unwrap()
     }
@@ -31,7 +31,7 @@
     run_experiment(&["trace", "--runs", "16", "--seed", seed])
 }
 
-/// The digest at the end of the summary line of `trace`.
+/// Returns the digest at the end of the summary line of `trace`.
 fn digest_of(trace: &Run) -> &str {
     trace.summary().rsplit(' ').next().unwrap()
 }
@@ -66,7 +66,7 @@
     );
 }
 
-/// A decider of `verdicts`, and whether the experiment has to find that it breaks a stated rate.
+/// A decider of `verdicts`, and whether the experiment has to report that its rates exceed a limit.
 struct DeciderCase {
     decider: &'static str,
     runs: &'static str,
