--- a/crates/experiments/src/verdicts/interval.rs
+++ b/crates/experiments/src/verdicts/interval.rs
@@ -17,9 +17,9 @@
 /// A confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Interval {
-    /// Lower end.
+    /// Lower end of the interval.
     pub(super) lower: f64,
-    /// Upper end.
+    /// Upper end of the interval.
     pub(super) upper: f64,
 }
 
