--- a/crates/experiments/src/restart/load.rs
+++ b/crates/experiments/src/restart/load.rs
@@ -1,4 +1,4 @@
-//! The clients of a run.
+//! The load of a run: clients that send requests at regular intervals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 const CLIENTS: u64 = 24;
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Under low traffic the interval is multiplied by this factor.
+/// Factor by which the interval is longer in the scenario with low traffic.
 const LOW_TRAFFIC_FACTOR: u32 = 3;
 
-/// Clients that send requests until they are stopped.
-pub(super) struct Load {
+/// Clients that send requests until the load generator is stopped.
+pub(super) struct LoadGenerator {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<Vec<ClientAnswer>>>,
 }
 
-impl Load {
-    /// Starts the clients of an instance.
-    pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> Load {
+impl LoadGenerator {
+    /// Starts the clients, which send their requests to the instance at this address.
+    pub(super) fn start(proxy: SocketAddr, scenario: Scenario) -> LoadGenerator {
         let stop = Arc::new(AtomicBool::new(false));
         let interval = match scenario {
-            Scenario::Trouble | Scenario::Healed => REQUEST_INTERVAL,
+            Scenario::FaultyEndpoints | Scenario::RecoveredEndpoints => REQUEST_INTERVAL,
             Scenario::BadBuild => LOW_TRAFFIC_FACTOR * REQUEST_INTERVAL,
         };
         let clients = (0..CLIENTS)
@@ -37,13 +37,13 @@
                 let stop = stop.clone();
                 let client = Client {
                     proxy,
-                    client: number,
+                    number,
                     interval,
                 };
                 thread::spawn(move || client.run(&stop))
             })
             .collect();
-        Load { stop, clients }
+        LoadGenerator { stop, clients }
     }
 
     /// Stops the clients and returns the answers that they recorded.
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -3,7 +3,7 @@
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use tidescale_policy::statistics::WeightedSum;
@@ -18,24 +18,24 @@
 use super::configuration::{
     Configuration, ListedEndpoint, ListedState, SnapshotSettings, endpoint_list,
 };
-use super::instance::{Launch, ProxyInstance, RunNumber, free_address, own_address};
+use super::instance::{Launch, ProxyInstance, RunNumber, free_address, run_address};
 use super::scenario::{BASELINE_BUILD, ListPosition, RELEASED};
 use crate::error::ExperimentError;
 use crate::units::milliseconds;
 
-/// How long an instance runs, which is enough for several saves.
+/// How long an instance runs; long enough for several saves.
 const RUN_TIME: Duration = Duration::from_secs(3);
-/// Slowdowns that the snapshots store for each endpoint.
+/// Slowdown that the snapshots store for each endpoint.
 const SLOWDOWN: WeightedSum = WeightedSum {
     sum: 3.5,
     weight: 4.0,
 };
-/// Log key of the longest time for which collecting a snapshot has blocked the event loop.
-const LONGEST_SLICE: &str = "longest_slice_us: ";
+/// Log key of the longest time for which the collection of a snapshot blocked the event loop.
+const LONGEST_SLICE_KEY: &str = "longest_slice_us: ";
 /// Log key of the longest iteration of the event loop.
-const LONGEST_ITERATION: &str = "longest_turn_us: ";
+const LONGEST_ITERATION_KEY: &str = "longest_turn_us: ";
 
-/// The cost of a snapshot of some number of endpoints.
+/// The cost of a snapshot of a given number of endpoints.
 pub(super) struct SnapshotCost {
     /// Number of endpoints in the snapshot.
     pub(super) endpoints: usize,
@@ -45,27 +45,29 @@
     pub(super) encode_ms: f64,
     /// Milliseconds to decode the snapshot.
     pub(super) decode_ms: f64,
-    /// Milliseconds until an instance listens that starts with the snapshot.
+    /// Milliseconds until an instance that starts with the snapshot listens.
     pub(super) start_up_with_ms: f64,
-    /// The same without a snapshot.
+    /// Milliseconds until an instance that starts without a snapshot listens.
     pub(super) start_up_without_ms: f64,
-    /// Longest time in microseconds for which collecting a snapshot has blocked the event loop.
+    /// Microseconds of the longest time for which the collection of a snapshot blocked the event
+    /// loop.
     pub(super) longest_slice_us: f64,
     /// Microseconds of the longest iteration of the event loop, with snapshots.
     pub(super) longest_iteration_with_us: f64,
-    /// The same without snapshots.
+    /// Microseconds of the longest iteration of the event loop, without snapshots.
     pub(super) longest_iteration_without_us: f64,
 }
 
 /// An encoded snapshot, and the times to encode and decode it.
-struct Encoded {
+struct EncodedSnapshot {
     bytes: Vec<u8>,
     encode_time: Duration,
     decode_time: Duration,
 }
 
 impl SnapshotCost {
-    /// Measures the cost. The instances listen on the address of the run with this number.
+    /// Measures the cost of a snapshot of this many endpoints. The instances listen on the address
+    /// of the run with this number.
     pub(super) fn measure(
         endpoints: usize,
         run: RunNumber,
@@ -73,8 +75,8 @@
     ) -> Result<SnapshotCost, ExperimentError> {
         let dir = environment.dir.join(format!("size-{endpoints}"));
         fs::create_dir_all(&dir).map_err(ExperimentError::at(&dir))?;
-        let encoded = Encoded::measure(endpoints)?;
-        let listen = own_address(run)?;
+        let encoded = EncodedSnapshot::measure(endpoints)?;
+        let listen = run_address(run)?;
         let configuration = write_configuration(endpoints, listen, &dir)?;
         let folder = dir.join("memory");
         let operators_file = SnapshotSettings {
@@ -93,7 +95,7 @@
         save_snapshot(&folder, &encoded.bytes)?;
         launch.operators_file = Some(operators_file);
         let with = InstanceRun::measure(&launch)?;
-        // Leftover files are harmless, and an error here must not hide the result.
+        // Files that are not removed do no harm, and an error here must not hide the result.
         let _ = fs::remove_dir_all(&dir);
         Ok(SnapshotCost {
             endpoints,
@@ -102,14 +104,14 @@
             decode_ms: milliseconds(encoded.decode_time),
             start_up_with_ms: milliseconds(with.start_up_time),
             start_up_without_ms: milliseconds(without.start_up_time),
-            longest_slice_us: logged_figure(&with.log, LONGEST_SLICE)?,
-            longest_iteration_with_us: logged_figure(&with.log, LONGEST_ITERATION)?,
-            longest_iteration_without_us: logged_figure(&without.log, LONGEST_ITERATION)?,
+            longest_slice_us: logged_metric(&with.log, LONGEST_SLICE_KEY)?,
+            longest_iteration_with_us: logged_metric(&with.log, LONGEST_ITERATION_KEY)?,
+            longest_iteration_without_us: logged_metric(&without.log, LONGEST_ITERATION_KEY)?,
         })
     }
 }
 
-/// The run of an instance for [`RUN_TIME`].
+/// Start-up time and log of an instance that ran for [`RUN_TIME`].
 struct InstanceRun {
     start_up_time: Duration,
     log: String,
@@ -125,8 +127,8 @@
     }
 }
 
-impl Encoded {
-    fn measure(endpoints: usize) -> Result<Encoded, ExperimentError> {
+impl EncodedSnapshot {
+    fn measure(endpoints: usize) -> Result<EncodedSnapshot, ExperimentError> {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -145,7 +147,7 @@
         let started_at = Instant::now();
         format::decode(&bytes)
             .map_err(|source| ExperimentError::SnapshotUnreadable { endpoints, source })?;
-        Ok(Encoded {
+        Ok(EncodedSnapshot {
             bytes,
             encode_time,
             decode_time: started_at.elapsed(),
@@ -153,7 +155,7 @@
     }
 }
 
-/// The records of one endpoint: its entry in the list, its latency and load, and its outcomes.
+/// Returns the records of one endpoint: list entry, latency and load, and outcomes.
 fn records_of(position: ListPosition, observed_at: Timestamp) -> [Record; 3] {
     let process = Process {
         endpoint: endpoint_name(position),
@@ -199,23 +201,23 @@
     format!("s-{:08x}", position.0)
 }
 
-/// An address on loopback on which nothing listens.
+/// Returns the loopback address of an endpoint; nothing listens on it.
 fn endpoint_address(position: ListPosition) -> SocketAddr {
-    const PER_BYTE: usize = 250;
+    const ADDRESSES_PER_BYTE: usize = 250;
     const PORT: u16 = 5432;
     let ListPosition(index) = position;
-    let third = (index / PER_BYTE) as u8;
-    let fourth = (1 + index % PER_BYTE) as u8;
-    SocketAddr::from(([127, 10, third, fourth], PORT))
+    let third_byte = (index / ADDRESSES_PER_BYTE) as u8;
+    let fourth_byte = (1 + index % ADDRESSES_PER_BYTE) as u8;
+    SocketAddr::from(([127, 10, third_byte, fourth_byte], PORT))
 }
 
-/// Writes the configuration of an instance that has the endpoint list from its start and can reach
-/// neither discovery nor the platform.
+/// Writes the configuration of an instance that knows the endpoint list from its start and can
+/// reach neither discovery nor the platform.
 fn write_configuration(
     endpoints: usize,
     listen: SocketAddr,
     dir: &Path,
-) -> Result<std::path::PathBuf, ExperimentError> {
+) -> Result<PathBuf, ExperimentError> {
     let entries: Vec<_> = (0..endpoints)
         .map(ListPosition)
         .map(|position| {
@@ -246,8 +248,8 @@
     fs::write(&path, bytes).map_err(ExperimentError::at(&path))
 }
 
-/// The first whole number after this key in a log.
-fn logged_figure(log: &str, key: &'static str) -> Result<f64, ExperimentError> {
+/// Returns the whole number after the first occurrence of a key in a log.
+fn logged_metric(log: &str, key: &'static str) -> Result<f64, ExperimentError> {
     log.split(key)
         .nth(1)
         .and_then(|rest| {
@@ -255,5 +257,5 @@
                 .next()
         })
         .and_then(|digits| digits.parse().ok())
-        .ok_or(ExperimentError::FigureNotLogged(key))
+        .ok_or(ExperimentError::MetricNotLogged(key))
 }
