--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -116,9 +116,10 @@
     };
     let raw = flatten_settings(&file.settings);
     let connections =
-        tidescale_settings::connection_settings(&raw).map_err(ConfigError::settings)?;
+        tidescale_settings::decode_connection_settings(&raw).map_err(ConfigError::settings)?;
     reject_streaming_routes(&raw)?;
-    let settings = tidescale_settings::decode(&raw).map_err(ConfigError::settings)?;
+    let settings =
+        tidescale_settings::decode_policy_settings(&raw).map_err(ConfigError::settings)?;
     Ok(Config {
         listen: file.listen,
         discovery: file.discovery,
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -234,7 +234,7 @@
     }
 
     fn health_check_query(&self) -> HealthCheckQuery {
-        if self.settings.load_on_demand {
+        if self.settings.request_load_reports {
             HealthCheckQuery::LoadReport
         } else {
             HealthCheckQuery::Ping
--- a/crates/settings/src/connections.rs
+++ b/crates/settings/src/connections.rs
@@ -15,8 +15,8 @@
     pub idle_timeout: Duration,
     /// The longest deadline of any route; zero if there are no routes.
     pub longest_deadline: Duration,
-    /// Endpoints report their load only on request.
-    pub load_on_demand: bool,
+    /// Whether endpoints report their load only on request.
+    pub request_load_reports: bool,
 }
 
 /// Decodes the settings for connections.
@@ -25,7 +25,7 @@
 ///
 /// The first setting that is missing or unusable; [`SettingsError::ZeroConnectTimeout`] among
 /// others.
-pub fn connection_settings(raw: &RawSettings) -> Result<ConnectionSettings, SettingsError> {
+pub fn decode_connection_settings(raw: &RawSettings) -> Result<ConnectionSettings, SettingsError> {
     let longest_deadline = longest_deadline(raw)?;
     let connect_timeout = raw.duration("policy_limits.connect_timeout")?;
     if connect_timeout.is_zero() {
@@ -36,7 +36,7 @@
         connect_timeout,
         idle_timeout: raw.duration("policy_limits.conn_idle")?,
         longest_deadline,
-        load_on_demand: raw.one_of("stats.how", &load_report_modes)?,
+        request_load_reports: raw.one_of("stats.how", &load_report_modes)?,
     })
 }
 
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// The first setting that is missing or unusable.
-pub fn decode(raw: &RawSettings) -> Result<Settings, SettingsError> {
+pub fn decode_policy_settings(raw: &RawSettings) -> Result<Settings, SettingsError> {
     let routes = decode_routes(raw)?;
     let stage_caps = decode_stage_caps(raw)?;
     let poll_endpoints = raw.one_of("membership_mode", &[("push", false), ("ask", true)])?;
@@ -47,15 +47,15 @@
         health_checks: raw.flag("policy_limits.probes")?,
         cancel_attempts: raw.flag("policy_limits.may_cancel")?,
         hedging: raw.flag("policy_limits.second_copies")?,
-        max_attempts: raw.number_in("policy_limits.max_attempts", ATTEMPTS)? as usize,
+        max_attempts: raw.number_in_range("policy_limits.max_attempts", ATTEMPTS)? as usize,
         max_retry_after: decode_max_retry_after(raw)?,
         grace_period: raw.duration("rules.drain_grace")?,
-        warm_up_start: raw.number_in("rules.cold_from", SHARE)?,
+        warm_up_start: raw.number_in_range("rules.cold_from", SHARE)?,
         warm_up_time: raw.duration("rules.cold")?,
-        overload_multiple: raw.number_in("rules.fall_multiple", MULTIPLE)?,
+        overload_multiple: raw.number_in_range("rules.fall_multiple", MULTIPLE)?,
         overload_window: raw.duration("rules.fall")?,
         stage_caps,
-        exposure_allowance: raw.number_in("family_info.allowance", ALLOWANCE)?,
+        exposure_allowance: raw.number_in_range("family_info.allowance", ALLOWANCE)?,
         exposure_window: raw.duration("family_info.exposure_window")?,
         exposure_by_route: decode_exposure_by_route(raw)?,
         guarded_stages: raw.number("family_info.guarded_stages")?,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,10 +2,10 @@
 //! that `tidescale-simhost` reads, or from a configuration file whose nested keys were joined to
 //! dotted paths.
 //!
-//! [`RawSettings`] holds the texts by path. [`decode`] converts them to the policy's
-//! [`Settings`](tidescale_policy::settings::Settings), [`connection_settings`] to the settings of
-//! the proxy's connections. Units and ranges are checked here and nowhere else. This crate does no
-//! I/O.
+//! [`RawSettings`] holds the texts by path. [`decode_policy_settings`] converts them to the
+//! policy's [`Settings`](tidescale_policy::settings::Settings), [`decode_connection_settings`] to
+//! the settings of the proxy's connections. Units and ranges are checked here and nowhere else.
+//! This crate does no I/O.
 //!
 //! ```
 //! use std::time::Duration;
@@ -26,8 +26,8 @@
 mod routes;
 mod values;
 
-pub use connections::{ConnectionSettings, connection_settings};
-pub use decode::decode;
+pub use connections::{ConnectionSettings, decode_connection_settings};
+pub use decode::decode_policy_settings;
 pub use error::SettingsError;
 pub use raw::RawSettings;
 pub use values::{ParseNumberError, ValueError, parse_duration, parse_flag, parse_number};
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -54,7 +54,11 @@
     ///
     /// [`SettingsError::Missing`], [`SettingsError::InvalidValue`] or
     /// [`SettingsError::OutOfRange`].
-    pub fn number_in(&self, path: &str, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
+    pub fn number_in_range(
+        &self,
+        path: &str,
+        range: RangeInclusive<f64>,
+    ) -> Result<f64, SettingsError> {
         let value: f64 = self.number(path)?;
         if !range.contains(&value) {
             return Err(SettingsError::OutOfRange {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use tidescale_policy::Balancer;
 use tidescale_policy::types::Timestamp;
-use tidescale_settings::{RawSettings, decode, parse_number};
+use tidescale_settings::{RawSettings, decode_policy_settings, parse_number};
 
 use crate::batch::EventLine;
 use crate::decision_writer::DecisionWriter;
@@ -25,7 +25,7 @@
         let settings = parts.next().ok_or(AdapterError::SpawnWithoutSettings)?;
         let raw = parse_raw_settings(settings)?;
         check_answer_slack(&raw)?;
-        let settings = decode(&raw)?;
+        let settings = decode_policy_settings(&raw)?;
         Ok(Instance {
             routes: RouteNames::of(&settings),
             policy: Balancer::new(settings, seed, now),
