--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -13,18 +13,18 @@
 use crate::values::parse_number;
 
 /// A share of capacity or of traffic.
-const SHARE: RangeInclusive<f64> = 0.0..=1.0;
+const FRACTION_RANGE: RangeInclusive<f64> = 0.0..=1.0;
 
 /// Attempts of one request. The upper bound only rejects typing errors; it converts to an integer
 /// exactly.
-const ATTEMPTS: RangeInclusive<f64> = 1.0..=1e6;
+const ATTEMPTS_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 
 /// A multiple of a capacity; the upper bound only rejects typing errors.
-const MULTIPLE: RangeInclusive<f64> = 0.0..=1e6;
+const MULTIPLE_RANGE: RangeInclusive<f64> = 0.0..=1e6;
 
 /// Attempts that are allowed in addition to the traffic cap; the upper bound only rejects typing
 /// errors.
-const ALLOWANCE: RangeInclusive<f64> = 0.0..=1e9;
+const ALLOWANCE_RANGE: RangeInclusive<f64> = 0.0..=1e9;
 
 /// Decodes all settings that the policy reads.
 ///
@@ -47,15 +47,15 @@
         health_checks: raw.flag("policy_limits.probes")?,
         cancel_attempts: raw.flag("policy_limits.may_cancel")?,
         hedging: raw.flag("policy_limits.second_copies")?,
-        max_attempts: raw.number_in_range("policy_limits.max_attempts", ATTEMPTS)? as usize,
+        max_attempts: raw.number_in_range("policy_limits.max_attempts", ATTEMPTS_RANGE)? as usize,
         max_retry_after: decode_max_retry_after(raw)?,
         grace_period: raw.duration("rules.drain_grace")?,
-        warm_up_start: raw.number_in_range("rules.cold_from", SHARE)?,
+        warm_up_start: raw.number_in_range("rules.cold_from", FRACTION_RANGE)?,
         warm_up_time: raw.duration("rules.cold")?,
-        overload_multiple: raw.number_in_range("rules.fall_multiple", MULTIPLE)?,
+        overload_multiple: raw.number_in_range("rules.fall_multiple", MULTIPLE_RANGE)?,
         overload_window: raw.duration("rules.fall")?,
         stage_caps,
-        exposure_allowance: raw.number_in_range("family_info.allowance", ALLOWANCE)?,
+        exposure_allowance: raw.number_in_range("family_info.allowance", ALLOWANCE_RANGE)?,
         exposure_window: raw.duration("family_info.exposure_window")?,
         exposure_by_route: decode_exposure_by_route(raw)?,
         guarded_stages: raw.number("family_info.guarded_stages")?,
@@ -77,8 +77,8 @@
 
 fn decode_instance(raw: &RawSettings) -> Result<Instance, SettingsError> {
     let index: u32 = raw.number("me")?;
-    let given_count: u32 = raw.number("balancers")?;
-    let count = given_count.max(1);
+    let configured_count: u32 = raw.number("balancers")?;
+    let count = configured_count.max(1);
     if index >= count {
         return Err(SettingsError::OutOfRange {
             path: "me".to_string(),
@@ -110,7 +110,7 @@
         .map(parse_number)
         .collect::<Result<Vec<f64>, _>>()
         .map_err(SettingsError::InvalidStageCap)?;
-    if stage_caps.iter().any(|cap| !SHARE.contains(cap)) {
+    if stage_caps.iter().any(|cap| !FRACTION_RANGE.contains(cap)) {
         return Err(SettingsError::OutOfRange {
             path: path.to_string(),
             value: list.to_string(),
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -93,12 +93,12 @@
     ///
     /// [`SettingsError::Missing`] or [`SettingsError::UnknownWord`].
     pub fn one_of<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Result<T, SettingsError> {
-        let given = self.text(path)?;
-        match words.iter().find(|(word, _)| *word == given) {
+        let text = self.text(path)?;
+        match words.iter().find(|(word, _)| *word == text) {
             Some((_, value)) => Ok(*value),
             None => Err(SettingsError::UnknownWord {
                 path: path.to_string(),
-                word: given.to_string(),
+                word: text.to_string(),
             }),
         }
     }
