--- a/crates/settings/src/connections.rs
+++ b/crates/settings/src/connections.rs
@@ -1,4 +1,4 @@
-//! Settings of the proxy's connections, which the policy does not use.
+//! Decodes the settings of the proxy's connections, which the policy does not use.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use crate::raw::RawSettings;
 use crate::routes::{route_count, route_path};
 
-/// Time-outs of connections, and the way in which endpoints report their load.
+/// Timeouts of connections, and how endpoints report their load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// A connection attempt fails after this time; never zero.
+    /// Maximum duration of a connection attempt; never zero.
     pub connect_timeout: Duration,
-    /// The peer closes a connection that has been idle for this long.
+    /// An endpoint closes a connection that has been idle for this long.
     pub idle_timeout: Duration,
-    /// The longest deadline of any route; zero if there are no routes.
+    /// Longest deadline of any route; zero if there are no routes.
     pub longest_deadline: Duration,
     /// Whether endpoints report their load only on request.
     pub request_load_reports: bool,
 }
 
-/// Decodes the settings for connections.
+/// Decodes the settings of connections.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or unusable; [`SettingsError::ZeroConnectTimeout`] among
-/// others.
+/// The first setting that is missing or invalid, including a connect timeout of zero
+/// ([`SettingsError::ZeroConnectTimeout`]).
 pub fn decode_connection_settings(raw: &RawSettings) -> Result<ConnectionSettings, SettingsError> {
     let longest_deadline = longest_deadline(raw)?;
     let connect_timeout = raw.duration("policy_limits.connect_timeout")?;
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,6 +1,6 @@
-//! Decodes the policy's settings, group by group.
+//! Decodes the settings that the policy reads.
 //!
-//! If several settings are unusable, the one that is decoded first is reported.
+//! If several settings are missing or invalid, the error names the one that is decoded first.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::routes::decode_routes;
 use crate::values::parse_number;
 
-/// A share of capacity or of traffic.
+/// Range of a fraction of capacity or of traffic.
 const FRACTION_RANGE: RangeInclusive<f64> = 0.0..=1.0;
 
-/// Attempts of one request. The upper bound only rejects typing errors; it converts to an integer
-/// exactly.
+/// Range of the maximum number of attempts of a request. The upper bound only rejects typing
+/// errors; it converts to an integer exactly.
 const ATTEMPTS_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 
-/// A multiple of a capacity; the upper bound only rejects typing errors.
+/// Range of a multiple of a capacity. The upper bound only rejects typing errors.
 const MULTIPLE_RANGE: RangeInclusive<f64> = 0.0..=1e6;
 
-/// Attempts that are allowed in addition to the traffic cap; the upper bound only rejects typing
-/// errors.
+/// Range of the number of attempts that are allowed in addition to the traffic cap. The upper bound
+/// only rejects typing errors.
 const ALLOWANCE_RANGE: RangeInclusive<f64> = 0.0..=1e9;
 
 /// Decodes all settings that the policy reads.
 ///
 /// # Errors
 ///
-/// The first setting that is missing or unusable.
+/// The first setting that is missing or invalid.
 pub fn decode_policy_settings(raw: &RawSettings) -> Result<Settings, SettingsError> {
     let routes = decode_routes(raw)?;
     let stage_caps = decode_stage_caps(raw)?;
@@ -69,7 +69,7 @@
     })
 }
 
-/// The index of this proxy instance and the number of instances.
+/// Index of this proxy instance, and the number of instances.
 struct Instance {
     index: u32,
     count: u32,
@@ -88,7 +88,7 @@
     Ok(Instance { index, count })
 }
 
-/// Unlimited where changes of the endpoint list are pushed.
+/// Decodes the longest time between polls of the endpoint list; unlimited if changes are pushed.
 fn decode_max_poll_interval(
     raw: &RawSettings,
     poll_endpoints: bool,
@@ -100,7 +100,7 @@
     }
 }
 
-/// The traffic cap of each stage, separated by commas.
+/// Decodes the traffic caps of the stages from a comma-separated list; empty items are skipped.
 fn decode_stage_caps(raw: &RawSettings) -> Result<Vec<f64>, SettingsError> {
     let path = "family_info.stage_cap";
     let list = raw.text(path)?;
@@ -119,7 +119,7 @@
     Ok(stage_caps)
 }
 
-/// Zero if rejected clients are sent no Retry-After time.
+/// Decodes the longest retry delay that may be sent to a client; zero if none is sent.
 fn decode_max_retry_after(raw: &RawSettings) -> Result<Duration, SettingsError> {
     if raw.flag("policy_limits.retry_after")? {
         raw.duration("policy_limits.max_retry_after")
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decodes the settings of a proxy instance from dotted paths and texts. They come from the lines
-//! that `tidescale-simhost` reads, or from a configuration file whose nested keys were joined to
-//! dotted paths.
+//! Decodes the settings of a proxy instance from pairs of a dotted path and a text. The pairs come
+//! from the input lines of `tidescale-simhost`, or from a configuration file whose nested keys are
+//! flattened to dotted paths.
 //!
 //! [`RawSettings`] holds the texts by path. [`decode_policy_settings`] converts them to the
 //! policy's [`Settings`](tidescale_policy::settings::Settings), [`decode_connection_settings`] to
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,4 +1,4 @@
-//! Settings as texts by dotted path, and typed look-ups in them.
+//! Undecoded settings: texts by dotted path, with typed lookups.
 //!
 //! A list `NAME` has its length under `NAME.count` and its items' fields under `NAME.INDEX.FIELD`.
 
@@ -10,7 +10,7 @@
 use crate::error::SettingsError;
 use crate::values::{ParseNumberError, ValueError, parse_duration, parse_flag, parse_number};
 
-/// The text of each setting, by its path.
+/// Text of each setting by its dotted path.
 #[derive(Debug, Default)]
 pub struct RawSettings(BTreeMap<String, String>);
 
@@ -22,7 +22,7 @@
 }
 
 impl RawSettings {
-    /// The text of a setting, unchanged.
+    /// Returns the text of a setting, unchanged.
     ///
     /// # Errors
     ///
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A number, limited only by its type.
+    /// Returns a number, limited only by the range of its type.
     ///
     /// # Errors
     ///
@@ -48,7 +48,7 @@
         parse_number(self.text(path)?).map_err(|source| invalid_value(path, source))
     }
 
-    /// A number within a range.
+    /// Returns a number and checks that it is within a range.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
         Ok(value)
     }
 
-    /// A duration, given in milliseconds and rounded to whole microseconds.
+    /// Returns a duration, which is given in milliseconds and rounded to whole microseconds.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         parse_duration(self.text(path)?).map_err(|source| invalid_value(path, source))
     }
 
-    /// A boolean; see [`parse_flag`].
+    /// Returns a boolean; see [`parse_flag`] for the accepted texts.
     ///
     /// # Errors
     ///
@@ -87,7 +87,8 @@
         parse_flag(self.text(path)?).map_err(|source| invalid_value(path, source))
     }
 
-    /// The value of the setting's word in a table of all its words.
+    /// Returns the value that `words` assigns to the setting's text; `words` lists all accepted
+    /// words.
     ///
     /// # Errors
     ///
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Length of the list at this path; 0 if there is no such list.
+    /// Returns the length of the list at this path; 0 if there is no such list.
     ///
     /// # Errors
     ///
--- a/crates/settings/src/routes.rs
+++ b/crates/settings/src/routes.rs
@@ -1,22 +1,22 @@
-//! Decodes the routes. The settings call them classes: the list `classes` has one item for each
-//! route.
+//! Decodes the routes. In the settings they are called classes: the list `classes` has one item for
+//! each route.
 
 use tidescale_policy::settings::{Idempotency, KeyScope, Route};
 
 use crate::error::SettingsError;
 use crate::raw::RawSettings;
 
-/// Number of routes.
+/// Returns the number of routes.
 pub(crate) fn route_count(raw: &RawSettings) -> Result<usize, SettingsError> {
     raw.count("classes")
 }
 
-/// Path of one field of one route.
+/// Returns the path of a field of a route.
 pub(crate) fn route_path(route_index: usize, field: &str) -> String {
     format!("classes.{route_index}.{field}")
 }
 
-/// Decodes all routes, in order.
+/// Decodes all routes, in the order of their indexes.
 pub(crate) fn decode_routes(raw: &RawSettings) -> Result<Vec<Route>, SettingsError> {
     let mut routes = Vec::new();
     for route_index in 0..route_count(raw)? {
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a single value, for any setting.
+//! Parsers for the text of a single value.
 
 use std::num::{ParseFloatError, ParseIntError};
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 
 use thiserror::Error;
 
-/// Durations in milliseconds must be shorter than this: 317 years, which is longer than any
-/// sensible setting or clock, and whose microseconds are far below the limit of a `u64`.
+/// Exclusive upper bound of a duration, in milliseconds. It is 317 years: longer than any plausible
+/// setting or clock reading, and in microseconds still far below the maximum of a `u64`.
 const DURATION_LIMIT_MS: f64 = 1e13;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Why a text is not a value of the expected type. Each message ends with the text.
+/// A text that cannot be parsed as a value of the expected type. Each message ends with the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
     /// Not a number of the expected type.
@@ -21,7 +21,7 @@
     NotANumber {
         /// The text.
         text: String,
-        /// Why it is not a number.
+        /// Error of the standard library's parser.
         source: ParseNumberError,
     },
     /// Not a number of milliseconds.
@@ -29,16 +29,16 @@
     NotADuration {
         /// The text.
         text: String,
-        /// Why it is not a number.
+        /// Error of the standard library's parser.
         source: ParseFloatError,
     },
-    /// Negative, not finite, or longer than any sensible duration.
+    /// Negative, not finite, or at least 10^13 ms (317 years).
     #[error("time out of range: {text}")]
     DurationOutOfRange {
         /// The text.
         text: String,
     },
-    /// None of the words for true and false.
+    /// None of the texts for true and false; see [`parse_flag`].
     #[error("not a yes or no: {text}")]
     NotAFlag {
         /// The text.
@@ -46,13 +46,13 @@
     },
 }
 
-/// The standard library's reason why a text is not a number.
+/// Error of the standard library's parser for numbers.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseNumberError {
-    /// Not an integer of the expected type.
+    /// The text is not an integer of the expected type.
     #[error(transparent)]
     Integer(#[from] ParseIntError),
-    /// Not a floating-point number.
+    /// The text is not a floating-point number.
     #[error(transparent)]
     Float(#[from] ParseFloatError),
 }
@@ -91,7 +91,8 @@
     })
 }
 
-/// Parses a boolean: `1` or `true`; `0`, `false`, or `-` for a field without a value.
+/// Parses a boolean. `1` and `true` are true; `0`, `false` and `-`, which stands for a field
+/// without a value, are false.
 ///
 /// # Errors
 ///
