--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -177,7 +177,7 @@
             self.sweep(sink);
         }
         if self.schedule.take_due_evaluation(now) {
-            self.forget_expired();
+            self.remove_expired();
             self.evaluate(sink);
             self.cast_vote(sink);
             self.check_endpoints(sink);
@@ -192,7 +192,7 @@
     /// Counts the attempts in flight, records those that have timed out, and cancels those whose
     /// request is finished.
     fn sweep(&mut self, sink: &mut dyn DecisionSink) {
-        self.exposure.expire(&self.context);
+        self.exposure.remove_expired(&self.context);
         let is_congested = self.limits.is_congested();
         let timeouts = AttemptTimeouts::new(&mut self.latency, is_congested, &self.context);
         let mut in_flight = 0.0;
@@ -221,18 +221,18 @@
         }
     }
 
-    /// Drops evidence that has decayed, idempotency keys that no longer restrict routing, and the
-    /// names of removed endpoints that are no longer referenced.
-    fn forget_expired(&mut self) {
-        self.evaluator.forget_expired(self.context.now);
-        self.key_builds.forget_expired(&self.endpoints);
+    /// Removes evidence that has decayed, idempotency keys that no longer restrict routing, and the
+    /// names of endpoints that are neither listed nor referenced.
+    fn remove_expired(&mut self) {
+        self.evaluator.remove_expired(self.context.now);
+        self.key_builds.remove_expired(&self.endpoints);
         let is_referenced = |index| {
             self.evaluator.refers_to(index)
                 || self.requests.refers_to(index)
                 || self.health.check_in_flight(index)
                 || self.loads.in_flight(index) > 0.0
         };
-        self.endpoints.forget_unreferenced(is_referenced);
+        self.endpoints.remove_unreferenced(is_referenced);
     }
 
     fn evaluate(&mut self, sink: &mut dyn DecisionSink) {
@@ -352,7 +352,7 @@
     /// Returns the lowest build to which a request may be sent. There is no restriction while a
     /// build is being rolled back, because its keys must then go to the previous build.
     fn lowest_build(&self, request: &Request) -> BuildNumber {
-        if self.rollout.is_ending() {
+        if self.rollout.is_rolled_back_or_unknown() {
             return BuildNumber::default();
         }
         self.key_builds
@@ -381,7 +381,7 @@
 
     /// Returns whether there is no congestion, and no rollout is in progress or has ended recently.
     fn is_steady(&self) -> bool {
-        !self.limits.is_congested() && self.rollout.has_settled(&self.context)
+        !self.limits.is_congested() && self.rollout.has_no_recent_rollout(&self.context)
     }
 
     /// Starts a health check of an endpoint unless one is in flight.
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -7,7 +7,7 @@
     EndpointRecord, FleetBaselineRecord, HardwareClassRecord, OutcomeRecord, REJECTION_LIFETIME,
     RolloutRecord, RouteRecord, SnapshotSink, ZoneSlowdownSums,
 };
-use crate::statistics::{Arm, OutcomeCounts, OutcomeKey, PerTest, WeightedSum};
+use crate::statistics::{Arm, EvidenceTestMap, OutcomeCounts, OutcomeKey, WeightedSum};
 use crate::types::{BuildNumber, EndpointIndex, RouteIndex, Timestamp};
 
 /// Saving. Endpoints and outcomes are saved in batches of bounded size.
@@ -239,7 +239,10 @@
         };
         let build = record.build;
         if self.endpoints[endpoint].build() == build {
-            let (outcomes, failures) = (PerTest::new(outcomes), PerTest::new(failures));
+            let (outcomes, failures) = (
+                EvidenceTestMap::new(outcomes),
+                EvidenceTestMap::new(failures),
+            );
             let counts = OutcomeCounts::new(outcomes, failures, self.context.now);
             let key = OutcomeKey { build, endpoint };
             self.evaluator.restore_outcomes(key, counts);
--- a/crates/policy/src/endpoints/table.rs
+++ b/crates/policy/src/endpoints/table.rs
@@ -1,7 +1,7 @@
 //! Table of endpoints and hardware classes, by index and by name.
 //!
-//! [`EndpointTable::forget_unreferenced`] bounds its size: it drops names that are no longer listed
-//! and to which nothing refers, and their indexes are reused.
+//! [`EndpointTable::remove_unreferenced`] bounds its size: it removes the names of endpoints that
+//! are no longer listed and to which nothing refers, and their indexes are reused.
 
 use std::collections::BTreeMap;
 use std::ops::Index;
@@ -158,8 +158,9 @@
         listed.map(Endpoint::build).min()
     }
 
-    /// Drops the names of removed endpoints that nothing refers to, which frees their indexes.
-    pub(crate) fn forget_unreferenced(&mut self, is_referenced: impl Fn(EndpointIndex) -> bool) {
+    /// Removes the names of endpoints that are no longer listed and to which nothing refers. This
+    /// frees their indexes.
+    pub(crate) fn remove_unreferenced(&mut self, is_referenced: impl Fn(EndpointIndex) -> bool) {
         let slots = &self.slots;
         self.by_name
             .retain(|_, index| slots[index.get()].is_listed() || is_referenced(*index));
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -19,7 +19,7 @@
 
 /// Maps each idempotency key to the latest build that has answered it.
 ///
-/// [`KeyBuilds::forget_expired`] bounds its size: a key is dropped once no endpoint with an earlier
+/// [`KeyBuilds::remove_expired`] bounds its size: a key is removed once no endpoint with an earlier
 /// build is listed.
 #[derive(Debug, Default)]
 pub(crate) struct KeyBuilds {
@@ -93,8 +93,8 @@
         self.by_key.len()
     }
 
-    /// Drops keys that cannot be sent to an earlier build, because none is listed.
-    pub(crate) fn forget_expired(&mut self, endpoints: &EndpointTable) {
+    /// Removes keys that cannot be sent to an earlier build, because none is listed.
+    pub(crate) fn remove_expired(&mut self, endpoints: &EndpointTable) {
         if let Some(oldest) = endpoints.oldest_listed_build() {
             self.by_key.retain(|_, build| *build > oldest);
         }
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -16,7 +16,9 @@
 use super::verdict::{TestResult, rollback_verdict};
 use crate::endpoints::Process;
 use crate::settings::Settings;
-use crate::statistics::{ArmVariances, OutcomeCounts, OutcomeKey, PerTest, Scores, WaldBounds};
+use crate::statistics::{
+    ArmVariances, EvidenceTestMap, OutcomeCounts, OutcomeKey, Scores, WaldBounds,
+};
 use crate::step_context::StepContext;
 use crate::types::{
     BuildNumber, EndpointIndex, EvidenceTest, RollbackVerdict, StageIndex, Timestamp,
@@ -69,7 +71,7 @@
     crashes: CrashTracker,
     fleet_baseline: FleetBaseline,
     /// Variances that the previous evaluation estimated in each test.
-    previous_variances: PerTest<Option<ArmVariances>>,
+    previous_variances: EvidenceTestMap<Option<ArmVariances>>,
     rejection: Option<Rejection>,
     restored_rejection: Option<RestoredRejection>,
     released_hold: Option<ReleasedHold>,
@@ -124,9 +126,9 @@
         attempts_per_second: f64,
         now: Timestamp,
     ) {
-        self.previous_variances = PerTest::default();
+        self.previous_variances = EvidenceTestMap::default();
         let mut baseline = FleetBaseline {
-            arm: self.outcomes.take_fleet_arm(now),
+            arm: self.outcomes.drain_fleet_outcomes(now),
             taken_at: now,
             endpoints: endpoints_in_service,
             attempts_per_second,
@@ -138,12 +140,12 @@
     /// Discards the fleet's latencies when a build is rolled back: they are distorted by that build
     /// and must not become the baseline of the next one.
     pub(crate) fn discard_fleet_outcomes(&mut self, now: Timestamp) {
-        self.outcomes.take_fleet_arm(now);
+        self.outcomes.drain_fleet_outcomes(now);
     }
 
     /// Removes outcome counts that have decayed to a negligible amount.
-    pub(crate) fn forget_expired(&mut self, now: Timestamp) {
-        self.outcomes.forget_expired(now);
+    pub(crate) fn remove_expired(&mut self, now: Timestamp) {
+        self.outcomes.remove_expired(now);
     }
 
     /// Returns whether there are outcome counts of this endpoint.
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -11,7 +11,7 @@
 use crate::latency::ClassBaseline;
 use crate::requests::Attempt;
 use crate::retries::exceeds_time_limit;
-use crate::statistics::PerTest;
+use crate::statistics::EvidenceTestMap;
 use crate::step_context::StepContext;
 use crate::types::{AttemptOutcome, EndpointIndex, Timestamp, fractional_micros};
 
@@ -87,7 +87,7 @@
     crashes: &mut CrashTracker,
     fleet_baseline: &FleetBaseline,
     context: &StepContext,
-) -> Option<PerTest<Option<bool>>> {
+) -> Option<EvidenceTestMap<Option<bool>>> {
     let AttemptEvidence {
         attempt, outcome, ..
     } = *evidence;
@@ -111,7 +111,7 @@
     // make the fleet look slower than its baseline.
     let fleet_is_comparable =
         attempt.conditions.comparable_to_baseline && attempt.sent_at >= fleet_baseline.taken_at;
-    Some(PerTest::new([
+    Some(EvidenceTestMap::new([
         has_baseline.then_some(is_failure),
         is_slow.filter(|_| has_baseline),
         // Connection resets and malformed responses can also be caused by the network or by a peer.
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -12,7 +12,8 @@
 /// Limits attempts at builds under evaluation: within any window, their number is at most a fixed
 /// allowance plus the traffic cap times the number of admitted requests.
 ///
-/// [`ExposureLimiter::expire`] bounds its size by removing events older than the window.
+/// [`ExposureLimiter::remove_expired`] bounds its size by removing events that are older than the
+/// window.
 #[derive(Debug, Default)]
 pub(crate) struct ExposureLimiter {
     admitted_requests: SlidingWindow,
@@ -50,7 +51,7 @@
 
     /// Removes events that are older than the window, and resets the count of requests if a lowered
     /// cap has taken effect.
-    pub(crate) fn expire(&mut self, context: &StepContext) {
+    pub(crate) fn remove_expired(&mut self, context: &StepContext) {
         let now = context.now;
         if self.lower_cap_applies_at.take_if(|at| now >= *at).is_some() {
             self.admitted_requests.clear();
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -8,18 +8,18 @@
     BEST_ENDPOINTS_FRACTION, EVIDENCE_TIME_CONSTANTS, MAX_RESTORED_BASELINE_OUTCOMES,
     MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
 };
-use crate::statistics::{Arm, Arms, EndpointOutcomes, OutcomeCounts, OutcomeKey, PerTest};
+use crate::statistics::{Arm, Arms, EndpointOutcomes, EvidenceTestMap, OutcomeCounts, OutcomeKey};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
 /// The evidence used in one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
     /// This instance's own outcomes.
-    own: PerTest<Arms>,
+    own: EvidenceTestMap<Arms>,
     /// Outcomes from before this instance's restart.
-    restored: PerTest<Arms>,
+    restored: EvidenceTestMap<Arms>,
     /// The arms passed to the tests: own outcomes, a limited number of restored ones, and priors.
-    tested: PerTest<Arms>,
+    tested: EvidenceTestMap<Arms>,
     /// No endpoint of the baseline is in service.
     pub(super) lacks_baseline_endpoints: bool,
 }
@@ -54,7 +54,7 @@
 
 /// Outcome counts by build and endpoint: this instance's own, and those restored from a snapshot.
 ///
-/// [`OutcomeTable::forget_expired`] bounds its size by removing counts that have decayed.
+/// [`OutcomeTable::remove_expired`] bounds its size by removing counts that have decayed.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeTable {
     own: BTreeMap<OutcomeKey, OutcomeCounts>,
@@ -67,7 +67,7 @@
     pub(super) fn record(
         &mut self,
         key: OutcomeKey,
-        is_failure: PerTest<Option<bool>>,
+        is_failure: EvidenceTestMap<Option<bool>>,
         now: Timestamp,
     ) {
         let counts = self.own.entry(key).or_default();
@@ -121,7 +121,7 @@
     }
 
     /// Removes counts that have decayed to a negligible amount.
-    pub(super) fn forget_expired(&mut self, now: Timestamp) {
+    pub(super) fn remove_expired(&mut self, now: Timestamp) {
         for counts in [&mut self.own, &mut self.restored] {
             counts.retain(|_, counts| {
                 counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
@@ -138,7 +138,7 @@
 
     /// Returns the responses of the endpoints with the smallest shares of slow responses, and
     /// resets the counts of the fleet-wide test for all endpoints.
-    pub(super) fn take_fleet_arm(&mut self, now: Timestamp) -> Arm {
+    pub(super) fn drain_fleet_outcomes(&mut self, now: Timestamp) -> Arm {
         let mut by_endpoint = Vec::new();
         for counts in self.own.values_mut() {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
@@ -208,8 +208,8 @@
         evidence
     }
 
-    fn restored_evidence(&mut self, newest: BuildNumber, now: Timestamp) -> PerTest<Arms> {
-        let mut arms = PerTest::default();
+    fn restored_evidence(&mut self, newest: BuildNumber, now: Timestamp) -> EvidenceTestMap<Arms> {
+        let mut arms = EvidenceTestMap::default();
         for (key, counts) in counts_up_to(&mut self.restored, newest) {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut arms, counts, key.build == newest);
@@ -223,7 +223,7 @@
 /// Evidence that this instance has collected since it started.
 #[derive(Default)]
 struct OwnEvidence {
-    arms: PerTest<Arms>,
+    arms: EvidenceTestMap<Arms>,
     /// Responses and the slow ones among them, by endpoint, for the fleet-wide test.
     by_endpoint: Vec<EndpointOutcomes>,
 }
@@ -238,7 +238,7 @@
         .filter(move |(key, _)| key.build <= newest)
 }
 
-fn add_counts(arms: &mut PerTest<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
+fn add_counts(arms: &mut EvidenceTestMap<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
     for test in EvidenceTest::ALL {
         let totals = counts.for_test(test);
         let arms = &mut arms[test];
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use crate::statistics::{PerTest, Rarity, ScoreParameters, TestParameters, TimeConstant};
+use crate::statistics::{
+    EvidenceTestMap, FailureFrequency, ScoreParameters, TestParameters, TimeConstant,
+};
 
 /// False-positive rate for which the bounds are chosen; set by the operators' design.
 pub(super) const ALPHA: f64 = 0.05;
@@ -17,7 +19,7 @@
 /// endpoints, the network and load, so the score must exceed the bound by a margin.
 const FAILURES: TestParameters = TestParameters {
     minimum_effect: 0.03,
-    rarity: Rarity::Rare(1.0),
+    failure_frequency: FailureFrequency::Rare(1.0),
     evidence_margin: 1.5,
     min_candidate_outcomes: 1.0,
     min_baseline_outcomes: MIN_OUTCOMES,
@@ -25,18 +27,18 @@
 
 /// Parameters that differ between the tests, in the order failures, slowness, errors, fleet
 /// slowdown.
-pub(super) const TEST_PARAMETERS: PerTest<TestParameters> = PerTest::new([
+pub(super) const TEST_PARAMETERS: EvidenceTestMap<TestParameters> = EvidenceTestMap::new([
     FAILURES,
     TestParameters {
         minimum_effect: 0.15,
-        rarity: Rarity::Common,
+        failure_frequency: FailureFrequency::Common,
         ..FAILURES
     },
     // Errors can also be compared with the time before the rollout, because neither overload nor
     // endpoint churn causes them. Without a concurrent baseline, the evidence margin of the
     // failures applies (see `evidence_margin` in the evaluator).
     TestParameters {
-        rarity: Rarity::Rare(4.0),
+        failure_frequency: FailureFrequency::Rare(4.0),
         evidence_margin: 0.0,
         ..FAILURES
     },
@@ -45,7 +47,7 @@
     // instance that has started only recently does not know the time before the rollout.
     TestParameters {
         minimum_effect: 0.18,
-        rarity: Rarity::Common,
+        failure_frequency: FailureFrequency::Common,
         min_candidate_outcomes: 10.0,
         min_baseline_outcomes: MIN_OUTCOMES + 1.0,
         ..FAILURES
@@ -61,7 +63,7 @@
 
 /// Time constants with which outcome counts decay, in the order of the tests. Without decay, the
 /// good early outcomes of a build that degrades late would mask the degradation.
-pub(super) const EVIDENCE_TIME_CONSTANTS: PerTest<TimeConstant> = PerTest::new([
+pub(super) const EVIDENCE_TIME_CONSTANTS: EvidenceTestMap<TimeConstant> = EvidenceTestMap::new([
     TimeConstant::from_secs(10),
     TimeConstant::from_secs(10),
     TimeConstant::from_secs(30),
--- a/crates/policy/src/rollout/status.rs
+++ b/crates/policy/src/rollout/status.rs
@@ -6,9 +6,9 @@
 use crate::step_context::StepContext;
 use crate::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex, Timestamp};
 
-/// Time after the end of a rollout for which the fleet does not yet count as settled. The warm-up
-/// time of endpoints applies instead if it is longer.
-const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Time for which a rollout that has ended still counts as recent, because congestion may remain
+/// from it. The warm-up time of endpoints applies instead if it is longer.
+const MIN_TIME_SINCE_ROLLOUT: Duration = Duration::from_secs(3);
 
 /// The rollout of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,7 +91,7 @@
 
     /// Returns whether the newest build is being replaced by the previous one or has been
     /// withdrawn, or no rollout is known.
-    pub(crate) fn is_ending(&self) -> bool {
+    pub(crate) fn is_rolled_back_or_unknown(&self) -> bool {
         self.current
             .is_none_or(|rollout| rollout.phase.is_rollback())
     }
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Returns whether no rollout is in progress and the last one ended long enough ago for the
-    /// fleet to have settled. An instance that has seen no rollout since it started does not wait:
-    /// it must learn baselines immediately, and no congestion remains from a rollout.
-    pub(crate) fn has_settled(&self, context: &StepContext) -> bool {
+    /// Returns whether no rollout is in progress or has ended recently. An instance that has seen
+    /// no rollout since it started does not wait: it must learn baselines immediately, and no
+    /// congestion remains from a rollout.
+    pub(crate) fn has_no_recent_rollout(&self, context: &StepContext) -> bool {
         let Some(rollout) = self.current else {
             return true;
         };
-        let settling_time = SETTLING_TIME.max(context.settings.warm_up_time);
-        let ended_long_ago = context.now >= rollout.since + settling_time;
+        let min_time_since_rollout = MIN_TIME_SINCE_ROLLOUT.max(context.settings.warm_up_time);
+        let ended_long_ago = context.now >= rollout.since + min_time_since_rollout;
         rollout.phase.has_ended() && (!self.rollout_seen || ended_long_ago)
     }
 }
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -12,11 +12,11 @@
 
 /// A pending vote is given up if no response has arrived this long after the vote timeout.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// A vote is renewed after this many tenths of its lifetime.
-const RENEWAL_TENTHS: u64 = 6;
-/// Divides a vote's lifetime in microseconds to give half of it in seconds. The votes of all
-/// instances are spread over this time.
-const SPREAD_DIVISOR: f64 = 2e6;
+/// An accepted vote is cast again after this many tenths of its lifetime, before it expires.
+const RENEWAL_TENTHS_OF_LIFETIME: u64 = 6;
+/// The votes of all instances are spread over one second for each of these microseconds of a vote's
+/// lifetime, that is, over half the lifetime.
+const LIFETIME_MICROS_PER_SPREAD_SECOND: f64 = 2e6;
 
 /// A vote that has been sent to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -119,14 +119,14 @@
 
 /// Returns the time after which an accepted vote is cast again.
 fn renewal_time(settings: &Settings) -> Duration {
-    Duration::from_micros(whole_micros(settings.vote_lifetime) * RENEWAL_TENTHS / 10)
+    Duration::from_micros(whole_micros(settings.vote_lifetime) * RENEWAL_TENTHS_OF_LIFETIME / 10)
 }
 
 /// Returns the probability with which an instance casts a due vote in one evaluation.
 fn vote_probability(settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let lifetime = whole_micros(settings.vote_lifetime) as f64;
-    settings.votes_per_second * lifetime / SPREAD_DIVISOR / instances
+    settings.votes_per_second * lifetime / LIFETIME_MICROS_PER_SPREAD_SECOND / instances
 }
 
 /// Returns how this instance should vote on the newest build.
@@ -136,7 +136,7 @@
     if assessment.is_rejected && may_be_rolled_back {
         return Vote::RollBack;
     }
-    let stage_is_over = context.now >= rollout.since + context.settings.min_stage_time;
+    let min_stage_time_has_passed = context.now >= rollout.since + context.settings.min_stage_time;
     let may_advance = assessment.may_advance;
     if !is_canary {
         Vote::Abstain
@@ -146,7 +146,7 @@
         } else {
             Vote::Hold
         }
-    } else if may_advance && stage_is_over {
+    } else if may_advance && min_stage_time_has_passed {
         Vote::Advance
     } else {
         Vote::Abstain
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -101,8 +101,8 @@
                 candidates.released.push(index);
             }
         }
-        self.keep_fast_enough(&mut candidates.released, &expected, time_limit);
-        self.keep_fast_enough(&mut candidates.canary, &expected, time_limit);
+        self.retain_within_time_limit(&mut candidates.released, &expected, time_limit);
+        self.retain_within_time_limit(&mut candidates.canary, &expected, time_limit);
         // The probability of an arm is its share of the warm endpoints. Warming endpoints were
         // considered above; if they counted here too, their share of the traffic would go to the
         // warm endpoints of the same build.
@@ -191,7 +191,7 @@
 
     /// Retains the endpoints that are expected to respond in time, if there are any, so that long
     /// requests leave the slow endpoints to short ones.
-    fn keep_fast_enough(
+    fn retain_within_time_limit(
         &self,
         arm: &mut Vec<EndpointIndex>,
         expected: &IndexedTable<HardwareClassIndex, LatencyEstimate>,
--- a/crates/policy/src/statistics/per_test.rs
+++ b/crates/policy/src/statistics/evidence_test_map.rs
@@ -1,4 +1,4 @@
-//! A container with one value for each test of a build.
+//! A map with one value for each evidence test.
 
 use std::ops::{Index, IndexMut};
 
@@ -6,16 +6,16 @@
 
 const TEST_COUNT: usize = EvidenceTest::ALL.len();
 
-/// One value for each [`EvidenceTest`].
+/// Maps every [`EvidenceTest`] to a value. There is always a value for each test.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PerTest<T> {
+pub struct EvidenceTestMap<T> {
     values: [T; TEST_COUNT],
 }
 
-impl<T> PerTest<T> {
-    /// Creates the container from values in the order of [`EvidenceTest::ALL`].
+impl<T> EvidenceTestMap<T> {
+    /// Creates the map from values in the order of [`EvidenceTest::ALL`].
     pub const fn new(values: [T; TEST_COUNT]) -> Self {
-        PerTest { values }
+        EvidenceTestMap { values }
     }
 
     /// Returns the values in the order of [`EvidenceTest::ALL`].
@@ -24,14 +24,14 @@
     }
 }
 
-impl<T> Index<EvidenceTest> for PerTest<T> {
+impl<T> Index<EvidenceTest> for EvidenceTestMap<T> {
     type Output = T;
     fn index(&self, test: EvidenceTest) -> &T {
         &self.values[test.index()]
     }
 }
 
-impl<T> IndexMut<EvidenceTest> for PerTest<T> {
+impl<T> IndexMut<EvidenceTest> for EvidenceTestMap<T> {
     fn index_mut(&mut self, test: EvidenceTest) -> &mut T {
         &mut self.values[test.index()]
     }
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -1,6 +1,6 @@
 //! Counts of outcomes and failures of one build at one endpoint.
 
-use super::{EndpointOutcomes, PerTest, TimeConstant};
+use super::{EndpointOutcomes, EvidenceTestMap, TimeConstant};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
 /// Counts are negligible if the outcomes and failures of every test are below this value.
@@ -22,14 +22,18 @@
 pub struct OutcomeCounts {
     updated_at: Timestamp,
     /// All outcomes that are evidence in the test.
-    pub outcomes: PerTest<f64>,
+    pub outcomes: EvidenceTestMap<f64>,
     /// The outcomes that are failures in the test.
-    pub failures: PerTest<f64>,
+    pub failures: EvidenceTestMap<f64>,
 }
 
 impl OutcomeCounts {
     /// Creates counts with the given values as of `now`.
-    pub fn new(outcomes: PerTest<f64>, failures: PerTest<f64>, now: Timestamp) -> Self {
+    pub fn new(
+        outcomes: EvidenceTestMap<f64>,
+        failures: EvidenceTestMap<f64>,
+        now: Timestamp,
+    ) -> Self {
         OutcomeCounts {
             updated_at: now,
             outcomes,
@@ -38,7 +42,7 @@
     }
 
     /// Decays the counts to the present time.
-    pub fn decay(&mut self, now: Timestamp, time_constants: &PerTest<TimeConstant>) {
+    pub fn decay(&mut self, now: Timestamp, time_constants: &EvidenceTestMap<TimeConstant>) {
         let updated_at = std::mem::replace(&mut self.updated_at, now);
         if now <= updated_at {
             return;
@@ -54,9 +58,9 @@
     /// `None` if it is not evidence in that test.
     pub fn add(
         &mut self,
-        is_failure: PerTest<Option<bool>>,
+        is_failure: EvidenceTestMap<Option<bool>>,
         now: Timestamp,
-        time_constants: &PerTest<TimeConstant>,
+        time_constants: &EvidenceTestMap<TimeConstant>,
     ) {
         self.decay(now, time_constants);
         for test in EvidenceTest::ALL {
--- a/crates/policy/src/statistics/sequential_test.rs
+++ b/crates/policy/src/statistics/scores.rs
@@ -1,14 +1,14 @@
-//! A test of a candidate against a baseline, which combines scores for a small and a large effect.
+//! Scores of a sequential test of a candidate against a baseline, for a small and a large effect.
 
-use super::{ArmVariances, Arms, Rarity, VarianceModel, sprt_score};
+use super::{ArmVariances, Arms, FailureFrequency, VarianceModel, sprt_score};
 
 /// Parameters that differ between the tests.
 #[derive(Clone, Copy, Debug)]
 pub struct TestParameters {
     /// The smallest difference of the failure shares that the test is meant to detect.
     pub minimum_effect: f64,
-    /// How rare failures are in this test.
-    pub rarity: Rarity,
+    /// How frequent failures are in this test.
+    pub failure_frequency: FailureFrequency,
     /// The margin by which the score must exceed the upper bound.
     pub evidence_margin: f64,
     /// The number of outcomes of the candidate below which no score is computed.
@@ -52,7 +52,7 @@
         }
         let model = VarianceModel {
             floor_share: common.floor_share,
-            rarity: self.rarity,
+            failure_frequency: self.failure_frequency,
         };
         let current = model.variances(arms);
         let previous = previous.replace(current).unwrap_or(current);
@@ -72,9 +72,9 @@
     }
 
     fn large_effect(&self, common: &ScoreParameters, standard_error: f64) -> f64 {
-        let large_effect = match self.rarity {
-            Rarity::Common => self.minimum_effect,
-            Rarity::Rare(_) => self.minimum_effect * common.large_effect_factor,
+        let large_effect = match self.failure_frequency {
+            FailureFrequency::Common => self.minimum_effect,
+            FailureFrequency::Rare(_) => self.minimum_effect * common.large_effect_factor,
         };
         large_effect.max(standard_error * common.large_effect_standard_errors)
     }
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -4,9 +4,10 @@
 
 use super::{Arm, Arms};
 
-/// How rare a test's failures are. This determines how the variance is estimated from few failures.
+/// How frequent a test's failures are. This determines how the variance is estimated from few
+/// failures.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Rarity {
+pub enum FailureFrequency {
     /// Failures are common, and the variance is estimated from the observed share.
     Common,
     /// Failures are rare. A larger factor means rarer failures, and lowers the floor of the
@@ -14,11 +15,11 @@
     Rare(f64),
 }
 
-impl Rarity {
-    fn factor(self) -> f64 {
+impl FailureFrequency {
+    fn rarity_factor(self) -> f64 {
         match self {
-            Rarity::Common => 0.0,
-            Rarity::Rare(factor) => factor,
+            FailureFrequency::Common => 0.0,
+            FailureFrequency::Rare(factor) => factor,
         }
     }
 }
@@ -46,15 +47,16 @@
 pub struct VarianceModel {
     /// Variances are not estimated below the variance of this share of failures.
     pub floor_share: f64,
-    /// How rare failures are.
-    pub rarity: Rarity,
+    /// How frequent failures are.
+    pub failure_frequency: FailureFrequency,
 }
 
 impl VarianceModel {
     /// The variance of a Bernoulli outcome. It has a floor, because an arm may have no failures
     /// merely by sampling error.
     fn bernoulli_variance(&self, arm: &Arm) -> f64 {
-        let one_failure = 1.0 / (arm.outcomes + 3.0) / self.rarity.factor().max(1.0);
+        let one_failure =
+            1.0 / (arm.outcomes + 3.0) / self.failure_frequency.rarity_factor().max(1.0);
         let floor = self.floor_share.max(one_failure);
         let share = arm.failure_share().clamp(floor, 1.0 - floor);
         share * (1.0 - share)
@@ -82,9 +84,9 @@
             candidate,
             baseline,
         } = arms;
-        let own_weight = match self.rarity {
-            Rarity::Common => 1.0,
-            Rarity::Rare(factor) => {
+        let own_weight = match self.failure_frequency {
+            FailureFrequency::Common => 1.0,
+            FailureFrequency::Rare(factor) => {
                 (candidate.outcomes * self.floor_share / factor.powi(4)).min(1.0)
             }
         };
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -66,9 +66,9 @@
                 weight: all.weight + class.weight,
             });
         let by_preference = [sums[class.get()], all];
-        let known = by_preference
+        let sufficient_sums = by_preference
             .into_iter()
             .find(|sums| sums.weight >= MIN_READY_SECONDS);
-        known.map(|sums| sums.sum / sums.weight)
+        sufficient_sums.map(|sums| sums.sum / sums.weight)
     }
 }
