--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -95,7 +95,7 @@
         self.total.exceeds_one_slow_per(OVERLOAD_RESPONSES_PER_SLOW)
     }
 
-    /// Counts an attempt that has been sent.
+    /// Increments the number of attempts in flight.
     pub(crate) fn start_attempt(&mut self) {
         self.in_flight += 1.0;
     }
@@ -141,8 +141,8 @@
     }
 
     /// Keeps the total limit at or above this instance's share of [`MIN_ATTEMPTS_PER_ENDPOINT`].
-    /// After a stall of this instance the limit is lifted, because the latencies that a stall
-    /// inflates look like congestion.
+    /// After a stall of this instance the limit is lifted, because latencies measured across the
+    /// stall cannot be told from those under congestion.
     pub(crate) fn enforce_minimum(&mut self, endpoints_in_service: usize, context: &StepContext) {
         let instances = f64::from(context.settings.instance_count);
         let minimum = if context.stalled {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -109,7 +109,8 @@
         self.rollout.current()
     }
 
-    /// Returns the build that this instance rejected last.
+    /// Returns the build that this instance rejected last; `None` if it has rejected none since it
+    /// started.
     pub fn rejected_build(&self) -> Option<BuildNumber> {
         self.evaluator.rejected_build()
     }
@@ -119,7 +120,8 @@
         self.evaluator.fleet_baseline().arm
     }
 
-    /// Returns the latest build that has answered an idempotency key.
+    /// Returns the latest build that has answered an idempotency key, if one is recorded. Keys are
+    /// recorded only with the setting `monotonic_key_builds`.
     pub fn key_build(&self, key: &str) -> Option<BuildNumber> {
         self.key_builds.get(key)
     }
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -19,13 +19,14 @@
 
 /// Handlers of the endpoint list.
 impl Balancer {
-    /// Handles the start of a complete endpoint list. Endpoints that do not occur in it have been
-    /// removed.
+    /// Marks all endpoints as removed, because the entries of a complete endpoint list follow.
+    /// Endpoints that do not occur in it stay removed.
     pub fn on_complete_endpoint_list(&mut self) {
         self.endpoints.mark_all_removed();
     }
 
-    /// Handles an entry of the endpoint list.
+    /// Adds or updates an endpoint from an entry of the endpoint list, and resets its state if a
+    /// new process runs there.
     pub fn on_endpoint(&mut self, entry: EndpointEntry<'_>) {
         let own_zone = &self.context.settings.zone;
         let change = self.endpoints.update(&entry, own_zone);
@@ -72,7 +73,7 @@
             .record_process_start(index, name_rank, &self.context);
     }
 
-    /// Handles a failed poll of the endpoint list.
+    /// Schedules another poll of the endpoint list after a failed one.
     pub fn on_endpoint_list_failed(&mut self) {
         let max_interval = self.context.settings.max_poll_interval;
         let now = self.context.now;
@@ -83,7 +84,8 @@
 
 /// Handlers of requests.
 impl Balancer {
-    /// Handles a request from a client.
+    /// Adds a request from a client to the open requests, with its cost, deadlines and priority
+    /// level.
     pub fn on_request(&mut self, id: RequestId, incoming: IncomingRequest<'_>) {
         let now = self.context.now;
         let route = incoming.route;
@@ -146,18 +148,19 @@
         may_expose
     }
 
-    /// Handles the start of streaming a response to the client.
+    /// Marks the response to an attempt as streaming to the client. No time limit applies to the
+    /// attempt from then on.
     pub fn on_response_started(&mut self, id: AttemptId) {
         self.requests.start_streaming(id);
     }
 
-    /// Handles the disconnection of the client that sent a request.
+    /// Marks a request as finished because its client has disconnected.
     pub fn on_client_disconnected(&mut self, id: RequestId) {
         self.requests.finish(id);
     }
 
-    /// Begins the shutdown of this instance, which ends at `deadline`. Open requests must be
-    /// answered before then, even if their clients would wait longer.
+    /// Limits the deadlines of all open and later requests to the end of this instance's shutdown,
+    /// even if their clients would wait longer.
     pub fn begin_shutdown(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = deadline;
         self.requests.limit_deadlines(deadline);
@@ -166,7 +169,8 @@
 
 /// Handlers of the results of attempts and health checks.
 impl Balancer {
-    /// Handles the end of an attempt.
+    /// Records the result of an attempt in all parts. The result is ignored if the attempt is
+    /// unknown or has already ended.
     pub fn on_attempt_result(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(attempt) = self.requests.finish_attempt(id, &result) else {
             return;
@@ -338,7 +342,9 @@
         self.limits.record(&observed, &self.context);
     }
 
-    /// Handles the result of a health check.
+    /// Records the result of a health check, which may return the endpoint to service. It also
+    /// decides whether a request whose connection the endpoint has reset may be retried. The result
+    /// of an unknown endpoint is ignored.
     pub fn on_health_check(
         &mut self,
         name: &str,
@@ -367,7 +373,9 @@
 
 /// Handlers of rollout events.
 impl Balancer {
-    /// Handles the rollout status of the newest build that the platform has announced.
+    /// Applies the rollout status of the newest build that the platform has announced. For a new
+    /// build, the current state of the fleet becomes the baseline. A lower traffic cap resets the
+    /// count of admitted requests, and a rollback discards the fleet's latencies.
     pub fn on_rollout_status(&mut self, status: RolloutStatus) {
         let now = self.context.now;
         let change = self.rollout.update(status, now);
@@ -385,12 +393,13 @@
         }
     }
 
-    /// Handles the platform's response to the pending vote.
+    /// Records the platform's response to the pending vote. It is ignored if no vote is pending.
     pub fn on_vote_result(&mut self, result: VoteResult) {
         self.votes.record_result(result, self.context.now);
     }
 
-    /// Handles a client's complaint about a response that an endpoint sent `age` ago.
+    /// Records an answer that an endpoint sent `age` ago and that a client has flagged as faulty,
+    /// as a failure of the endpoint's build. An unknown endpoint is ignored.
     pub fn on_answer_flagged(&mut self, name: &str, age: Duration) {
         if let Some(endpoint) = self.endpoints.find(name) {
             let now = self.context.now;
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -249,7 +249,8 @@
         }
     }
 
-    /// Restores that a build was rejected before the restart.
+    /// Restores the rejection of a build from before the restart. It expires [`REJECTION_LIFETIME`]
+    /// after `rejected_at`.
     pub fn restore_rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
         let until = rejected_at.min(self.context.now) + REJECTION_LIFETIME;
         self.evaluator.restore_rejection(build, until);
--- a/crates/policy/src/balancer/status.rs
+++ b/crates/policy/src/balancer/status.rs
@@ -21,12 +21,12 @@
 pub struct TableSizes {
     /// Endpoint indexes, in use or free.
     pub endpoint_indexes: usize,
-    /// Endpoint names.
+    /// Names of endpoints that are listed or still referenced.
     pub endpoint_names: usize,
     /// Pairs of build and endpoint for which outcomes are recorded.
     pub outcome_counts: usize,
     /// Idempotency keys for which the latest build that answered is recorded.
     pub key_builds: usize,
-    /// Open requests.
+    /// Requests that are unfinished or have an attempt in flight.
     pub open_requests: usize,
 }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -18,9 +18,7 @@
 /// Indexes of an endpoint and of its hardware class, for statistics that are kept for both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointWithClass {
-    /// The endpoint.
     pub(crate) index: EndpointIndex,
-    /// The hardware class of the endpoint.
     pub(crate) class: HardwareClassIndex,
 }
 
@@ -29,7 +27,6 @@
 pub(crate) struct Endpoint {
     /// Name in the endpoint list.
     pub(crate) name: String,
-    /// Availability zone.
     pub(crate) zone: String,
     /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
@@ -60,22 +57,23 @@
         }
     }
 
-    /// The build that the endpoint runs.
+    /// Returns the build that the endpoint runs.
     pub(crate) fn build(&self) -> BuildNumber {
         self.process.build
     }
 
-    /// Whether the endpoint takes new requests according to the endpoint list.
+    /// Returns whether the endpoint takes new requests according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether the endpoint is in the endpoint list.
+    /// Returns whether the endpoint is in the endpoint list.
     pub(crate) fn is_listed(&self) -> bool {
         self.state != EndpointState::Removed
     }
 
-    /// Whether the endpoint is ready and still runs this process, for which an attempt was chosen.
+    /// Returns whether the endpoint is ready and still runs this process, for which an attempt was
+    /// chosen.
     pub(crate) fn still_runs(&self, process: Process) -> bool {
         self.is_ready() && self.process == process
     }
--- a/crates/policy/src/endpoints/load.rs
+++ b/crates/policy/src/endpoints/load.rs
@@ -8,7 +8,8 @@
 
 /// Time constant of the mean load that the endpoints of a hardware class report.
 const CLASS_LOAD_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// Time constant with which an endpoint's last report gives way to the mean of its hardware class.
+/// Time constant with which the weight of an endpoint's last report decays in its load estimate.
+/// The mean of the hardware class has the remaining weight.
 const REPORT_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
 /// Lower bound of the divisor in the mean of a class, which avoids a division by zero while there
 /// are no reports.
@@ -59,33 +60,33 @@
         self.classes.put_if_absent(class, without_reports);
     }
 
-    /// Records that a new process runs at an endpoint: discards the report of the previous one.
+    /// Discards the load report of the previous process at an endpoint.
     pub(crate) fn record_process_start(&mut self, index: EndpointIndex) {
         self.endpoints[index].reported = ReportedLoad::default();
     }
 
-    /// Counts an attempt that has been sent to an endpoint.
+    /// Increments the number of this instance's attempts in flight at an endpoint.
     pub(crate) fn start_attempt(&mut self, index: EndpointIndex) {
         self.endpoints[index].in_flight += 1.0;
     }
 
-    /// Removes an attempt that has ended from the count of its endpoint.
+    /// Decrements the number of this instance's attempts in flight at an endpoint.
     pub(crate) fn end_attempt(&mut self, index: EndpointIndex) {
         self.endpoints[index].in_flight -= 1.0;
     }
 
-    /// This instance's attempts in flight at an endpoint.
+    /// Returns the number of this instance's attempts in flight at an endpoint.
     pub(crate) fn in_flight(&self, index: EndpointIndex) -> f64 {
         self.endpoints[index].in_flight
     }
 
-    /// The last load report of an endpoint.
+    /// Returns the last load report of an endpoint.
     pub(crate) fn reported(&self, index: EndpointIndex) -> ReportedLoad {
         self.endpoints[index].reported
     }
 
-    /// Records a load report for the endpoint and for its hardware class. The queue length stands
-    /// in for the requests in flight if only the former is reported.
+    /// Records a load report for the endpoint and for its hardware class. The queue length is
+    /// used if the number of requests in flight is not reported.
     pub(crate) fn record_report(
         &mut self,
         endpoint: EndpointWithClass,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The sum and the number of the reports of a hardware class.
+    /// Returns the sum and the number of the reports of a hardware class.
     pub(crate) fn class_reports(
         &mut self,
         class: HardwareClassIndex,
--- a/crates/policy/src/endpoints/table.rs
+++ b/crates/policy/src/endpoints/table.rs
@@ -77,7 +77,7 @@
         index
     }
 
-    /// The index of the hardware class of this name, which is added if it is not known.
+    /// Returns the index of the hardware class of this name, and adds the class if it is not known.
     pub(crate) fn find_or_insert_class(&mut self, name: &str) -> HardwareClassIndex {
         let existing = self.classes.iter().position(|class| class == name);
         let position = existing.unwrap_or_else(|| {
@@ -87,72 +87,72 @@
         HardwareClassIndex::new(position)
     }
 
-    /// The indexes and names of all hardware classes.
+    /// Returns the indexes and names of all hardware classes.
     pub(crate) fn classes(&self) -> impl Iterator<Item = (HardwareClassIndex, &str)> {
         let classes = self.classes.iter().enumerate();
         classes.map(|(position, name)| (HardwareClassIndex::new(position), name.as_str()))
     }
 
-    /// The name of a hardware class.
     pub(crate) fn class_name(&self, class: HardwareClassIndex) -> &str {
         &self.classes[class.get()]
     }
 
-    /// Number of indexes, in use or free.
+    /// Returns the number of indexes, in use or free.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Number of known endpoint names.
+    /// Returns the number of known endpoint names.
     pub(crate) fn name_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// All indexes in ascending order, including free ones.
+    /// Returns all indexes in ascending order, including free ones.
     pub(crate) fn indexes(&self) -> impl Iterator<Item = EndpointIndex> + use<> {
         (0..self.slots.len()).map(EndpointIndex::new)
     }
 
-    /// All endpoints in the order of their indexes, including removed ones.
+    /// Returns all endpoints in the order of their indexes, including removed ones.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> + Clone {
         self.slots.iter()
     }
 
-    /// All endpoints with their indexes, including removed ones.
+    /// Returns all endpoints with their indexes, including removed ones.
     pub(crate) fn iter_indexed(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
         let slots = self.slots.iter().enumerate();
         slots.map(|(position, endpoint)| (EndpointIndex::new(position), endpoint))
     }
 
-    /// Endpoints that take new requests according to the endpoint list, with their indexes.
+    /// Returns the endpoints that take new requests according to the endpoint list, with their
+    /// indexes.
     pub(crate) fn ready(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> + Clone {
         self.iter_indexed()
             .filter(|(_, endpoint)| endpoint.is_ready())
     }
 
-    /// The index of the endpoint of this name.
+    /// Returns the index of the endpoint of this name.
     pub(crate) fn find(&self, name: &str) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The index of an endpoint together with that of its hardware class.
+    /// Returns the index of an endpoint together with that of its hardware class.
     pub(crate) fn with_class(&self, index: EndpointIndex) -> EndpointWithClass {
         let class = self[index].hardware_class;
         EndpointWithClass { index, class }
     }
 
-    /// Whether an index is in use: the name of the endpoint stored there still maps to it.
+    /// Returns whether an index is in use: the name of the endpoint stored there still maps to it.
     pub(crate) fn is_in_use(&self, index: EndpointIndex) -> bool {
         self.find(&self[index].name) == Some(index)
     }
 
-    /// Rank of an endpoint's name in the lexicographic order of all names, from 0.
+    /// Returns the rank of an endpoint's name in the lexicographic order of all names, from 0.
     pub(crate) fn name_rank(&self, index: EndpointIndex) -> usize {
         let name = self[index].name.clone();
         self.by_name.range(..name).count()
     }
 
-    /// The oldest build among the listed endpoints.
+    /// Returns the oldest build among the listed endpoints.
     pub(crate) fn oldest_listed_build(&self) -> Option<BuildNumber> {
         let listed = self.iter().filter(|endpoint| endpoint.is_listed());
         listed.map(Endpoint::build).min()
--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -34,9 +34,7 @@
 /// The outcome of an attempt or a health check at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointOutcome {
-    /// Index of the endpoint.
     pub(crate) endpoint: EndpointIndex,
-    /// Outcome of the attempt or the health check.
     pub(crate) outcome: AttemptOutcome,
 }
 
@@ -50,7 +48,7 @@
 }
 
 impl InServiceCounts {
-    /// Endpoints of all builds.
+    /// Returns the number of endpoints in service of all builds.
     pub(crate) fn total(self) -> usize {
         self.candidate + self.baseline
     }
@@ -68,22 +66,21 @@
         self.endpoints.put(index, EndpointHealth::default());
     }
 
-    /// Records that a new process runs at an endpoint, which returns it to service.
+    /// Returns an endpoint to service because a new process runs there, and resets the number of
+    /// health checks that it must pass after its next ejection.
     pub(crate) fn record_process_start(&mut self, index: EndpointIndex, now: Timestamp) {
         self.endpoints[index].record_process_start(now);
     }
 
-    /// Whether the endpoint is ejected.
     pub(crate) fn is_ejected(&self, index: EndpointIndex) -> bool {
         self.endpoints[index].ejected
     }
 
-    /// When the endpoint last responded to an attempt.
+    /// Returns when the endpoint last responded to an attempt or returned to service.
     pub(crate) fn last_response_at(&self, index: EndpointIndex) -> Timestamp {
         self.endpoints[index].last_response_at
     }
 
-    /// Whether a health check of the endpoint is in flight.
     pub(crate) fn check_in_flight(&self, index: EndpointIndex) -> bool {
         self.endpoints[index].check_in_flight
     }
@@ -112,13 +109,13 @@
         in_service
     }
 
-    /// Number of endpoints that are ready and not ejected.
+    /// Returns the number of endpoints that are ready and not ejected.
     pub(crate) fn in_service_count(&self, endpoints: &EndpointTable) -> usize {
         let ready = endpoints.ready();
         ready.filter(|(index, _)| !self.is_ejected(*index)).count()
     }
 
-    /// Number of ready endpoints of a build that are ejected.
+    /// Returns the number of ready endpoints of a build that are ejected.
     pub(crate) fn ejected_count(&self, endpoints: &EndpointTable, build: BuildNumber) -> usize {
         let of_build = endpoints
             .ready()
@@ -128,16 +125,16 @@
             .count()
     }
 
-    /// Whether panic mode applies: there are ready endpoints, and all of them are ejected.
+    /// Returns whether panic mode applies: there are ready endpoints, and all of them are ejected.
     pub(crate) fn all_ejected(&self, endpoints: &EndpointTable) -> bool {
         let mut ready = endpoints.ready().peekable();
         ready.peek().is_some() && ready.all(|(index, _)| self.is_ejected(index))
     }
 
-    /// Whether a trial request may be sent to an ejected endpoint in panic mode: one at a time, and
-    /// no sooner than [`TRIAL_REQUEST_INTERVAL`] after its ejection or the previous one. Trial
-    /// requests supplement health checks because the fault may lie with this instance or with the
-    /// health checks.
+    /// Returns whether a trial request may be sent to an ejected endpoint in panic mode: one at a
+    /// time, and no sooner than [`TRIAL_REQUEST_INTERVAL`] after its ejection or the previous one.
+    /// Trial requests supplement health checks because the fault may lie with this instance or with
+    /// the health checks.
     pub(crate) fn may_send_trial_request(
         &self,
         index: EndpointIndex,
@@ -148,7 +145,8 @@
         in_flight < 1.0 && now >= next_trial_at
     }
 
-    /// Records that an attempt has been sent; at an ejected endpoint it is a trial request.
+    /// Sets the time of the last trial request if the endpoint is ejected, since an attempt that is
+    /// sent to it is then a trial request.
     pub(crate) fn start_attempt(&mut self, index: EndpointIndex, now: Timestamp) {
         let health = &mut self.endpoints[index];
         if health.ejected {
@@ -156,8 +154,8 @@
         }
     }
 
-    /// Marks an endpoint that has not responded since an attempt was sent that has now missed its
-    /// latency objective. The next evaluation may eject the endpoint.
+    /// Marks an endpoint as unresponsive, so that the next evaluation may eject it: an attempt has
+    /// missed its latency objective, and the endpoint has not responded since the attempt was sent.
     pub(crate) fn mark_unresponsive(&mut self, index: EndpointIndex) {
         self.endpoints[index].unresponsive = true;
     }
--- a/crates/policy/src/health/endpoint_health.rs
+++ b/crates/policy/src/health/endpoint_health.rs
@@ -22,7 +22,6 @@
     /// Whether an attempt has missed its latency objective with no response from the endpoint since
     /// it was sent.
     pub(super) unresponsive: bool,
-    /// Whether a health check is in flight.
     pub(super) check_in_flight: bool,
     /// When the last health check was sent or the endpoint was ejected, whichever was later.
     pub(super) last_check_at: Timestamp,
@@ -35,7 +34,8 @@
 }
 
 impl EndpointHealth {
-    /// Records that a new process runs at the endpoint, which returns it to service.
+    /// Returns the endpoint to service because a new process runs there, and resets the number of
+    /// health checks that it must pass after its next ejection.
     pub(super) fn record_process_start(&mut self, now: Timestamp) {
         self.return_to_service(now);
         self.passes_required = MIN_PASSES;
--- a/crates/policy/src/indexed_table.rs
+++ b/crates/policy/src/indexed_table.rs
@@ -7,7 +7,7 @@
 
 /// An index type that can address an [`IndexedTable`].
 pub(crate) trait TableIndex: Copy {
-    /// The position in the table, from 0.
+    /// Returns the position in the table, from 0.
     fn position(self) -> usize;
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl<I: TableIndex, T> IndexedTable<I, T> {
-    /// A table of these values, which have the indexes from 0 on.
+    /// Creates a table of these values, which have the indexes from 0 on.
     pub(crate) fn from_values(values: Vec<T>) -> Self {
         IndexedTable {
             values,
@@ -70,17 +70,16 @@
         }
     }
 
-    /// The value at an index, if there is one.
+    /// Returns the value at an index, if there is one.
     pub(crate) fn get_mut(&mut self, index: I) -> Option<&mut T> {
         self.values.get_mut(index.position())
     }
 
-    /// All values in the order of their indexes.
+    /// Returns all values in the order of their indexes.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.values.iter_mut()
     }
 
-    /// Number of values.
     pub(crate) fn len(&self) -> usize {
         self.values.len()
     }
--- a/crates/policy/src/latency/estimate.rs
+++ b/crates/policy/src/latency/estimate.rs
@@ -7,9 +7,7 @@
 /// The properties of a request that determine its expected latency.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestWork {
-    /// Route of the request.
     pub(crate) route: RouteIndex,
-    /// Cost of the request.
     pub(crate) cost: f64,
 }
 
@@ -30,17 +28,17 @@
         LatencyEstimate { micros }
     }
 
-    /// The estimate in microseconds.
+    /// Returns the estimate in microseconds.
     pub(crate) const fn as_micros(self) -> f64 {
         self.micros
     }
 
-    /// The ratio of a measured latency to this estimate.
+    /// Returns the ratio of a measured latency to this estimate.
     pub(crate) fn ratio_of(self, measured: Duration) -> f64 {
         fractional_micros(measured) / self.micros
     }
 
-    /// This estimate multiplied by a factor.
+    /// Returns this estimate multiplied by a factor.
     pub(crate) fn scaled(self, factor: f64) -> LatencyEstimate {
         LatencyEstimate {
             micros: self.micros * factor,
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -33,9 +33,7 @@
     pub(crate) endpoint: EndpointWithClass,
     /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
-    /// Work of the request.
     pub(crate) work: RequestWork,
-    /// The measured latency.
     pub(crate) latency: Duration,
     /// Requests in flight at the endpoint, including the measured one.
     pub(crate) endpoint_load: f64,
@@ -55,7 +53,6 @@
 /// Baseline latency on endpoints of one hardware class, and the load at which it was measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ClassBaseline {
-    /// Baseline latency.
     pub(crate) latency: LatencyEstimate,
     /// Mean number of requests in flight at the endpoint, including the measured one.
     pub(crate) load: f64,
@@ -77,7 +74,7 @@
         }
     }
 
-    /// The mean slowdown of the endpoints of the class.
+    /// Returns the mean slowdown of the endpoints of the class.
     fn mean_slowdown(&mut self, now: Timestamp) -> f64 {
         let sums = self.slowdown.read(now);
         sums.mean_with_prior(1.0, PRIOR_RESPONSES)
@@ -158,7 +155,7 @@
         self.endpoints[index].add(FAILURE_SLOWDOWN, now);
     }
 
-    /// The baseline latency of this work, if there are enough measurements.
+    /// Returns the baseline latency of this work, if there are enough measurements.
     pub(crate) fn expected_latency(
         &mut self,
         work: RequestWork,
@@ -167,7 +164,8 @@
         self.routes.expected_latency(work, now)
     }
 
-    /// The baseline latency of each route for one unit of cost; infinite if it is not known.
+    /// Returns the baseline latency of each route for one unit of cost; infinite if it is not
+    /// known.
     pub(crate) fn expected_latency_per_cost(
         &mut self,
         now: Timestamp,
@@ -175,12 +173,12 @@
         self.routes.expected_latency_per_cost(now)
     }
 
-    /// The decayed number of responses of all routes together, as of the last reading.
+    /// Returns the decayed number of responses of all routes together, as of the last reading.
     pub(crate) fn response_count(&self) -> f64 {
         self.routes.response_count()
     }
 
-    /// The baseline of this work on endpoints of a hardware class, if there are enough
+    /// Returns the baseline of this work on endpoints of a hardware class, if there are enough
     /// measurements.
     pub(crate) fn class_baseline(
         &mut self,
@@ -198,7 +196,7 @@
         })
     }
 
-    /// The current latency of work with this baseline latency, by hardware class.
+    /// Returns the current latency of work with this baseline latency, by hardware class.
     pub(crate) fn expected_latency_by_class(
         &mut self,
         baseline: LatencyEstimate,
@@ -213,14 +211,14 @@
         IndexedTable::from_values(estimates.collect())
     }
 
-    /// The current slowdown of an endpoint.
+    /// Returns the current slowdown of an endpoint.
     pub(crate) fn slowdown(&mut self, endpoint: EndpointWithClass, now: Timestamp) -> f64 {
         let class_mean = self.classes[endpoint.class].mean_slowdown(now);
         let own = self.endpoints[endpoint.index].read(now);
         own.mean_with_prior(class_mean, PRIOR_RESPONSES)
     }
 
-    /// The mean slowdowns of this instance's zone and of the other zones.
+    /// Returns the mean slowdowns of this instance's zone and of the other zones.
     pub(crate) fn zone_slowdowns(&mut self, now: Timestamp) -> ByZone<f64> {
         self.zones.means(now)
     }
@@ -237,7 +235,7 @@
 
 /// Saving and restoring the sums in snapshots.
 impl LatencyModel {
-    /// The sums of an endpoint.
+    /// Returns the sum of the slowdowns and the number of responses of an endpoint.
     pub(crate) fn endpoint_sums(&mut self, index: EndpointIndex, now: Timestamp) -> WeightedSum {
         self.endpoints[index].read(now)
     }
@@ -252,7 +250,7 @@
         self.endpoints[index].set(sums, now);
     }
 
-    /// The sums of a hardware class.
+    /// Returns the sums of the current slowdowns and of the baseline of a hardware class.
     pub(crate) fn class_sums(
         &mut self,
         class: HardwareClassIndex,
@@ -285,7 +283,7 @@
         self.classes[class].baseline.set(sums.into(), now);
     }
 
-    /// The sums of one route, or of all routes together; `None` if the route is unknown.
+    /// Returns the sums of one route, or of all routes together; `None` if the route is unknown.
     pub(crate) fn route_sums(
         &mut self,
         route: Option<RouteIndex>,
@@ -307,7 +305,8 @@
         }
     }
 
-    /// The sums of this instance's zone and of the other zones.
+    /// Returns the sums of the slowdowns and the numbers of responses of this instance's zone and
+    /// of the other zones.
     pub(crate) fn zone_sums(&mut self, now: Timestamp) -> ZoneSlowdownSums {
         self.zones.read(now)
     }
--- a/crates/policy/src/latency/route_baselines.rs
+++ b/crates/policy/src/latency/route_baselines.rs
@@ -38,7 +38,7 @@
         self.routes[work.route].add(values, now);
     }
 
-    /// The baseline latency of this work, if there are enough measurements.
+    /// Returns the baseline latency of this work, if there are enough measurements.
     pub(super) fn expected_latency(
         &mut self,
         work: RequestWork,
@@ -55,7 +55,8 @@
         Some(LatencyEstimate::from_micros(micros))
     }
 
-    /// The baseline latency of each route for one unit of cost; infinite if it is not known.
+    /// Returns the baseline latency of each route for one unit of cost; infinite if it is not
+    /// known.
     pub(super) fn expected_latency_per_cost(
         &mut self,
         now: Timestamp,
@@ -68,13 +69,13 @@
         IndexedTable::from_values(estimates.collect())
     }
 
-    /// The decayed number of responses of all routes together, as of the last reading.
+    /// Returns the decayed number of responses of all routes together, as of the last reading.
     pub(super) fn response_count(&self) -> f64 {
         let [_, _, responses] = self.all_routes.last_read();
         responses
     }
 
-    /// The sums of one route, or of all routes together; `None` if the route is unknown.
+    /// Returns the sums of one route, or of all routes together; `None` if the route is unknown.
     pub(super) fn sums_mut(&mut self, route: Option<RouteIndex>) -> Option<&mut DecayingSums<3>> {
         match route {
             Some(route) => self.routes.get_mut(route),
--- a/crates/policy/src/latency/zones.rs
+++ b/crates/policy/src/latency/zones.rs
@@ -37,7 +37,7 @@
         zone.add(slowdown, now);
     }
 
-    /// The mean slowdowns, including the prior.
+    /// Returns the mean slowdowns, including the prior.
     pub(super) fn means(&mut self, now: Timestamp) -> ByZone<f64> {
         let sums = self.read(now);
         ByZone {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The sums of the slowdowns and the numbers of responses.
+    /// Returns the sums of the slowdowns and the numbers of responses.
     pub(super) fn read(&mut self, now: Timestamp) -> ZoneSlowdownSums {
         ByZone {
             own: self.sums.own.read(now),
