--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -46,9 +46,7 @@
     pub(crate) endpoint: EndpointIndex,
     /// Process that ran at the endpoint when the attempt was sent.
     pub(crate) process: Process,
-    /// When it was sent.
     pub(crate) sent_at: Timestamp,
-    /// Conditions under which it was sent.
     pub(crate) conditions: AttemptConditions,
     state: AttemptState,
 }
@@ -110,7 +108,6 @@
         }
     }
 
-    /// Marks the attempt as ended.
     pub(super) fn finish(&mut self, may_have_executed: bool) {
         self.state = AttemptState::Finished { may_have_executed };
     }
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -6,14 +6,12 @@
 /// An open request. Only [`RequestTable`](super::RequestTable) modifies it.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Its route.
     pub(crate) route: RouteIndex,
     /// The client's idempotency key.
     pub(crate) idempotency_key: Option<String>,
     /// Amount of work: the client's cost hint, or else the route's latency objective in
     /// milliseconds.
     pub(crate) cost: f64,
-    /// When it arrived.
     pub(crate) arrived_at: Timestamp,
     /// When its client stops waiting, or earlier if this instance shuts down before.
     pub(crate) deadline: Timestamp,
--- a/crates/policy/src/requests/table.rs
+++ b/crates/policy/src/requests/table.rs
@@ -22,11 +22,9 @@
 /// An attempt whose response has not begun to arrive, with data of its request.
 #[derive(Debug)]
 pub(crate) struct WaitingAttempt<'a> {
-    /// Id of the attempt.
     pub(crate) id: AttemptId,
     /// Endpoint to which it was sent.
     pub(crate) endpoint: EndpointIndex,
-    /// When it was sent.
     pub(crate) sent_at: Timestamp,
     /// Route of the request.
     pub(crate) route: RouteIndex,
@@ -36,7 +34,6 @@
     pub(crate) request_finished: bool,
     /// It is the only attempt of its request.
     pub(crate) is_only_attempt: bool,
-    /// Its state.
     pub(crate) state: &'a mut AwaitingResponse,
 }
 
@@ -47,12 +44,10 @@
 }
 
 impl RequestTable {
-    /// Adds a request under its id.
     pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
         self.by_id.insert(id, request);
     }
 
-    /// Returns the request with an id.
     pub(crate) fn get(&self, id: RequestId) -> Option<&Request> {
         self.by_id.get(&id)
     }
@@ -103,8 +98,8 @@
         }
     }
 
-    /// Records that the endpoint of a request's last attempt may have crashed, since it reset the
-    /// connection.
+    /// Marks an endpoint as the crash suspect of a request, because it has reset the connection of
+    /// the request's last attempt.
     pub(crate) fn suspect_crash(&mut self, id: RequestId, endpoint: EndpointIndex) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.crash_suspect = Some(endpoint);
@@ -202,12 +197,10 @@
         in_flight.map(|attempt| attempt.process.build).max()
     }
 
-    /// Returns the number of requests in the table.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Returns whether the table is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,5 +1,5 @@
-//! Retries and hedging: whether a request may be sent again (rule 2: no request is executed twice
-//! unless that is harmless), when an attempt times out, and when a hedged request is due.
+//! Retries and hedging: whether a request may be sent again (rule 2: a request is executed twice
+//! only if its idempotency allows it), when an attempt times out, and when a hedged request is due.
 //!
 //! A request is sent to a second endpoint in these cases:
 //!
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -88,7 +88,6 @@
         keys.map(|(key, build)| (key.as_str(), *build))
     }
 
-    /// Returns the number of keys.
     pub(crate) fn len(&self) -> usize {
         self.by_key.len()
     }
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -153,13 +153,13 @@
         self.outcomes.refers_to(endpoint)
     }
 
-    /// Number of pairs of build and endpoint for which this instance has counted outcomes since it
-    /// started.
+    /// Returns the number of pairs of build and endpoint for which this instance has counted
+    /// outcomes since it started.
     pub(crate) fn outcome_key_count(&self) -> usize {
         self.outcomes.len()
     }
 
-    /// The state of the fleet before the rollout.
+    /// Returns the state of the fleet before the rollout.
     pub(crate) fn fleet_baseline(&self) -> &FleetBaseline {
         &self.fleet_baseline
     }
@@ -233,7 +233,8 @@
         true
     }
 
-    /// The build that this instance has rejected last since it started.
+    /// Returns the build that this instance rejected last; `None` if it has rejected none since it
+    /// started.
     pub(crate) fn rejected_build(&self) -> Option<BuildNumber> {
         self.rejection.map(|rejection| rejection.build)
     }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -103,7 +103,7 @@
         crashes.record(attempt.endpoint, context.now);
     }
     let is_failure = outcome.is_error() || is_late || outcome == AttemptOutcome::TimedOut;
-    // The latency of an error response says nothing about how fast the build is.
+    // The latency of an error response does not measure the speed of the build.
     let lacks_latency = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
     let is_slow = is_slow.filter(|_| !lacks_latency);
     let has_baseline = attempt.conditions.has_concurrent_baseline;
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -23,7 +23,7 @@
 }
 
 impl ExposureLimiter {
-    /// Records that a request has been admitted.
+    /// Adds an admitted request to the count of requests.
     pub(crate) fn record_request(&mut self, route: RouteIndex, now: Timestamp) {
         let key = WindowKey {
             build: ALL_BUILDS,
@@ -32,7 +32,7 @@
         self.admitted_requests.push(key, now);
     }
 
-    /// Records that an attempt has been sent to a build.
+    /// Adds an attempt at a build to the count of attempts.
     pub(crate) fn record_attempt(&mut self, key: WindowKey, now: Timestamp) {
         self.attempts.push(key, now);
     }
@@ -93,9 +93,9 @@
         (attempts + 1) as f64 <= settings.exposure_allowance + cap * requests as f64
     }
 
-    /// Number of requests admitted within the window, on one route or on all routes if `None`. A
-    /// request at exactly the start of the window is excluded, whereas an attempt at that time is
-    /// included, so that the limit errs on the low side.
+    /// Returns the number of requests admitted within the window, on one route or on all routes if
+    /// `None`. A request at exactly the start of the window is excluded, whereas an attempt at that
+    /// time is included, so that events at the boundary can only lower the limit.
     fn requests_since(&self, route: Option<RouteIndex>, window_start: Timestamp) -> usize {
         let after_start = Timestamp::from_micros(window_start.as_micros() + 1);
         self.admitted_requests
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -34,7 +34,7 @@
 }
 
 impl Default for FleetBaseline {
-    /// A baseline without responses, with which any rate of attempts is comparable.
+    /// Creates a baseline without responses, with which any rate of attempts is comparable.
     fn default() -> FleetBaseline {
         FleetBaseline {
             arm: Arm::default(),
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Records that an attempt has been sent.
+    /// Counts an attempt towards the rate of attempts.
     pub(crate) fn record_attempt(&mut self, now: Timestamp) {
         self.attempts.record(now);
     }
 
-    /// Rate at which this instance sends attempts.
+    /// Returns the rate at which this instance sends attempts.
     pub(crate) fn attempts_per_second(&mut self, context: &StepContext) -> f64 {
         self.attempts.per_second(context.uptime(), context.now)
     }
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -35,17 +35,18 @@
         self.tested[test]
     }
 
-    /// Outcomes of the build under evaluation that this instance has counted since it started.
+    /// Returns the outcomes of the build under evaluation that this instance has counted since it
+    /// started.
     pub(super) fn own_candidate(&self, test: EvidenceTest) -> Arm {
         self.own[test].candidate
     }
 
-    /// Outcomes of the build under evaluation from before this instance's restart.
+    /// Returns the outcomes of the build under evaluation from before this instance's restart.
     pub(super) fn restored_candidate(&self, test: EvidenceTest) -> Arm {
         self.restored[test].candidate
     }
 
-    /// The number of restored outcomes of the build under evaluation that a test uses.
+    /// Returns the number of restored outcomes of the build under evaluation that a test uses.
     pub(super) fn counted_restored_outcomes(&self, test: EvidenceTest) -> f64 {
         let restored = self.restored_candidate(test).outcomes;
         restored.min(MAX_RESTORED_CANDIDATE_OUTCOMES)
@@ -115,7 +116,7 @@
         keys
     }
 
-    /// Number of keys with own counts.
+    /// Returns the number of keys with own counts.
     pub(super) fn len(&self) -> usize {
         self.own.len()
     }
@@ -192,12 +193,12 @@
         for (key, counts) in counts_up_to(&mut self.own, newest) {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut evidence.arms, counts, key.build == newest);
-            // An ejected endpoint is lost to the fleet rather than slowed down, so the counts of
-            // its present build are left out. Those of an earlier build at that endpoint still
+            // An ejected endpoint is out of service rather than slow, so the counts of its
+            // present build are left out. Those of an earlier build at that endpoint still
             // show how fast the fleet was.
-            let is_lost = fleet.health.is_ejected(key.endpoint)
+            let is_out_of_service = fleet.health.is_ejected(key.endpoint)
                 && fleet.endpoints[key.endpoint].build() == key.build;
-            if !is_lost {
+            if !is_out_of_service {
                 let test = EvidenceTest::FleetSlowdown;
                 evidence.by_endpoint.push(EndpointOutcomes {
                     outcomes: counts.outcomes[test],
--- a/crates/policy/src/rollout/status.rs
+++ b/crates/policy/src/rollout/status.rs
@@ -57,7 +57,7 @@
 }
 
 impl RolloutTracker {
-    /// The rollout of the newest build, or `None` until the platform has announced one.
+    /// Returns the rollout of the newest build, or `None` until the platform has announced one.
     pub(crate) fn current(&self) -> Option<Rollout> {
         self.current
     }
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -29,7 +29,7 @@
 /// Decides when to vote, and tracks the votes that the platform has accepted from this instance.
 #[derive(Debug)]
 pub(crate) struct VoteScheduler {
-    /// The vote that counts at the platform, as far as this instance knows.
+    /// The vote that the platform counts, according to its responses to this instance.
     standing_vote: CastVote,
     /// The vote that awaits a response.
     pending_vote: Option<CastVote>,
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -36,15 +36,11 @@
 
 /// State that endpoint selection depends on.
 pub(crate) struct RoutingInputs<'a> {
-    /// Rollout state and endpoint table.
     pub(crate) view: RolloutView<'a>,
-    /// Health of the endpoints.
     pub(crate) health: &'a HealthChecker,
-    /// Concurrency limits.
     pub(crate) limits: &'a ConcurrencyLimits,
     /// Limits the traffic to builds under evaluation.
     pub(crate) exposure: &'a ExposureLimiter,
-    /// Load estimates of the endpoints.
     pub(crate) loads: &'a mut EndpointLoads,
     /// Latencies of routes, endpoints, hardware classes and zones.
     pub(crate) latency: &'a mut LatencyModel,
--- a/crates/policy/src/schedule.rs
+++ b/crates/policy/src/schedule.rs
@@ -29,7 +29,7 @@
 }
 
 impl Schedule {
-    /// The schedule of an instance that starts now.
+    /// Creates the schedule of an instance that starts now.
     pub(crate) fn new(now: Timestamp, poll_endpoints: bool) -> Self {
         Schedule {
             poll_at: poll_endpoints.then_some(now),
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether a step at `now` is so late that the process must have been stalled.
+    /// Returns whether a step at `now` is so late that the process must have been stalled.
     pub(crate) fn is_stalled(&self, now: Timestamp) -> bool {
         now > self.wake_up_at + STALL_THRESHOLD
     }
 
-    /// Time of the next step that was requested from the host.
+    /// Returns the time of the next step that was requested from the host.
     pub(crate) fn wake_up_at(&self) -> Timestamp {
         self.wake_up_at
     }
--- a/crates/policy/src/step_context.rs
+++ b/crates/policy/src/step_context.rs
@@ -10,21 +10,19 @@
 /// Time, settings and random number generator of the current step.
 #[derive(Debug)]
 pub(crate) struct StepContext {
-    /// The time of the current step.
     pub(crate) now: Timestamp,
     /// When this instance started.
     pub(crate) started_at: Timestamp,
     /// Whether the step is late because the process was stalled (not scheduled by the operating
     /// system). Latencies measured across the stall are ignored.
     pub(crate) stalled: bool,
-    /// The deployment's settings.
     pub(crate) settings: Settings,
     /// Source of all random draws; seeded, so that runs are reproducible.
     pub(crate) random: Rand64,
 }
 
 impl StepContext {
-    /// The context of an instance that starts now.
+    /// Creates the context of an instance that starts now.
     pub(crate) fn new(settings: Settings, seed: u64, now: Timestamp) -> StepContext {
         StepContext {
             now,
@@ -35,7 +33,7 @@
         }
     }
 
-    /// Time since this instance started.
+    /// Returns the time since this instance started.
     pub(crate) fn uptime(&self) -> Duration {
         self.now - self.started_at
     }
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -33,7 +33,7 @@
         self.classes[class].add_weighted(response, now);
     }
 
-    /// Records that a warm endpoint has been in service for a further `time`.
+    /// Adds `time` to the time that warm endpoints of a hardware class have been in service.
     pub(super) fn record_ready_time(
         &mut self,
         class: HardwareClassIndex,
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -14,8 +14,8 @@
 const CAPACITY_SHARE: f64 = 0.65;
 /// Time constant of the moving average of the arrival rate.
 const ARRIVALS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
-/// The arrival rate is computed over at least this time, so that the first requests after the start
-/// do not look like a surge.
+/// The arrival rate is computed over at least this time, so that it is not excessive after the
+/// first requests.
 const MIN_ARRIVALS_LIFETIME: Duration = Duration::from_secs(1);
 /// Credit accrues for at most this fraction of the overload window.
 const MAX_CREDIT_WINDOW_FRACTION: f64 = 0.25;
@@ -113,7 +113,7 @@
         self.capacity.record_response(class, now);
     }
 
-    /// Records that a warm endpoint has been in service for a further `time`.
+    /// Adds `time` to the time that warm endpoints of a hardware class have been in service.
     pub(crate) fn record_ready_time(
         &mut self,
         class: HardwareClassIndex,
