--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -20,7 +20,7 @@
 }
 
 impl Idempotency {
-    /// Whether a client may safely send the request again to any endpoint.
+    /// Returns whether a client may safely send the request again to any endpoint.
     pub fn is_safe_everywhere(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -35,7 +35,7 @@
 pub enum KeyScope {
     /// All endpoints.
     Fleet,
-    /// Endpoints of one zone.
+    /// Endpoints of one availability zone.
     Zone,
     /// Endpoints of one cell.
     Cell,
@@ -59,11 +59,11 @@
 pub struct Settings {
     /// Index of this instance, from 0.
     pub instance_index: u32,
-    /// Number of instances.
+    /// Number of instances of the deployment, at least 1.
     pub instance_count: u32,
-    /// Availability zone of this instance.
+    /// Availability zone of this instance, as named in the endpoint list.
     pub zone: String,
-    /// Routes by index.
+    /// Routes, indexed by [`RouteIndex`](crate::types::RouteIndex).
     pub routes: Vec<Route>,
     /// Whether the endpoint list must be polled.
     pub poll_endpoints: bool,
@@ -72,13 +72,13 @@
     pub max_poll_interval: Duration,
     /// Cost of a response from another zone, as a fraction of the response's value.
     pub cross_zone_price: f64,
-    /// Whether health checks are allowed.
+    /// Whether health checks are allowed. Without them, no endpoint is ejected.
     pub health_checks: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be cancelled. Without cancellation, no hedged requests are sent.
     pub cancel_attempts: bool,
     /// Whether two attempts of one request may be in flight simultaneously.
     pub hedging: bool,
-    /// Maximum number of attempts for each request.
+    /// Maximum number of attempts for each request, including hedged ones.
     pub max_attempts: usize,
     /// Longest retry delay that may be sent to a client; zero if none is sent.
     pub max_retry_after: Duration,
@@ -93,7 +93,7 @@
     pub overload_multiple: f64,
     /// Time over which [`overload_multiple`](Settings::overload_multiple) applies.
     pub overload_window: Duration,
-    /// Traffic cap of each stage of a rollout.
+    /// Traffic cap of each stage of a rollout, as a share of the admitted requests.
     pub stage_caps: Vec<f64>,
     /// Number of attempts at a build under evaluation that are allowed in addition to the traffic
     /// cap.
@@ -109,13 +109,13 @@
     pub monotonic_key_builds: bool,
     /// Whether the platform advances the stages unless instances vote to hold.
     pub automatic_stages: bool,
-    /// Minimum time at a stage.
+    /// Minimum time at a stage before an instance votes to advance.
     pub min_stage_time: Duration,
     /// Number of instances whose votes are needed to roll a build back.
     pub rollback_votes: u32,
     /// Votes per second that the platform accepts from all instances together.
     pub votes_per_second: f64,
-    /// How long a vote counts.
+    /// How long a vote counts after the platform has accepted it.
     pub vote_lifetime: Duration,
     /// How long to wait for the platform's response to a vote.
     pub vote_timeout: Duration,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -86,11 +86,11 @@
 pub struct EndpointRecord<'a> {
     /// Name in the endpoint list.
     pub name: &'a str,
-    /// Availability zone.
+    /// Name of the availability zone.
     pub zone: &'a str,
     /// Cell within the availability zone.
     pub cell: u64,
-    /// Hardware class.
+    /// Name of the hardware class.
     pub hardware_class: &'a str,
     /// Build that the endpoint runs.
     pub build: BuildNumber,
@@ -150,15 +150,15 @@
 pub struct FleetBaselineRecord {
     /// When the baseline was taken.
     pub taken_at: Timestamp,
-    /// Number of outcomes.
+    /// Number of outcomes at `taken_at`. Counts decay, so it may be fractional.
     pub outcomes: f64,
     /// Number of slow ones among them.
     pub failures: f64,
     /// Dispersion of both counts over the endpoints.
     pub dispersion: Dispersion,
-    /// Number of endpoints in service.
+    /// Number of endpoints in service at `taken_at`.
     pub endpoints: usize,
-    /// Attempts per second that this instance sent.
+    /// Attempts per second that this instance sent at `taken_at`.
     pub attempts_per_second: f64,
 }
 
@@ -187,7 +187,7 @@
     fn route(&mut self, record: RouteRecord<'_>);
     /// Saves the outcomes of one endpoint under one build.
     fn outcomes(&mut self, record: OutcomeRecord<'_>);
-    /// Saves that a build was rejected.
+    /// Saves the rejection of a build.
     fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp);
     /// Saves the slowness of the fleet before the rollout.
     fn fleet_baseline(&mut self, record: FleetBaselineRecord);
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -6,9 +6,9 @@
 /// Outcomes and failures of one endpoint in one test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointOutcomes {
-    /// All outcomes.
+    /// Number of outcomes. Counts decay, so it may be fractional.
     pub outcomes: f64,
-    /// Failures among them.
+    /// Number of failures among the outcomes.
     pub failures: f64,
 }
 
@@ -47,16 +47,16 @@
 /// One arm of a test: outcomes and failures, summed over its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arm {
-    /// All outcomes.
+    /// Number of outcomes. Counts decay, so it may be fractional.
     pub outcomes: f64,
-    /// Failures among them.
+    /// Number of failures among the outcomes.
     pub failures: f64,
     /// How outcomes and failures are spread over the endpoints.
     pub dispersion: Dispersion,
 }
 
 impl Arm {
-    /// The share of failures among the outcomes, or 0 if there are no outcomes.
+    /// Returns the share of failures among the outcomes, or 0 if there are no outcomes.
     pub fn failure_share(&self) -> f64 {
         if self.outcomes > 0.0 {
             self.failures / self.outcomes
@@ -65,8 +65,8 @@
         }
     }
 
-    /// How much the outcomes are concentrated on few endpoints: 1 if all come from one endpoint,
-    /// and less the more evenly they are spread.
+    /// Returns how much the outcomes are concentrated on few endpoints: 1 if all come from one
+    /// endpoint, and less the more evenly they are spread.
     pub fn concentration(&self) -> f64 {
         self.dispersion.outcomes_squared / self.outcomes.powi(2)
     }
--- a/crates/policy/src/statistics/decaying_rate.rs
+++ b/crates/policy/src/statistics/decaying_rate.rs
@@ -14,7 +14,7 @@
 
 impl DecayingRate {
     /// Creates a rate without any events. It is computed over at least `min_lifetime`, so that the
-    /// first events do not look like a surge.
+    /// rate is not excessive after the first events.
     pub const fn new(time_constant: TimeConstant, min_lifetime: Duration) -> DecayingRate {
         DecayingRate {
             count: DecayingSums::new(time_constant),
--- a/crates/policy/src/statistics/decaying_sums.rs
+++ b/crates/policy/src/statistics/decaying_sums.rs
@@ -5,7 +5,8 @@
 
 /// `N` sums that decay with the same time constant.
 ///
-/// The decay is applied lazily, when the sums are read or added to, so that idle sums cost nothing.
+/// The decay is applied lazily, when the sums are read or added to, so that unused sums take no
+/// CPU time.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingSums<const N: usize> {
     updated_at: Timestamp,
@@ -55,7 +56,7 @@
         *self = DecayingSums::new(self.time_constant);
     }
 
-    /// The time constant with which the sums decay.
+    /// Returns the time constant with which the sums decay.
     pub fn time_constant(&self) -> TimeConstant {
         self.time_constant
     }
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -34,7 +34,7 @@
 }
 
 impl ArmVariances {
-    /// The standard error of the difference between the failure shares of the two arms.
+    /// Returns the standard error of the difference between the failure shares of the two arms.
     pub fn standard_error(self, arms: Arms) -> f64 {
         let candidate = self.candidate / arms.candidate.outcomes;
         let baseline = self.baseline / arms.baseline.outcomes;
@@ -52,8 +52,8 @@
 }
 
 impl VarianceModel {
-    /// The variance of a Bernoulli outcome. It has a floor, because an arm may have no failures
-    /// merely by sampling error.
+    /// Returns the variance of a Bernoulli outcome. It has a floor, because an arm may have no
+    /// failures merely by sampling error.
     fn bernoulli_variance(&self, arm: &Arm) -> f64 {
         let one_failure =
             1.0 / (arm.outcomes + 3.0) / self.failure_frequency.rarity_factor().max(1.0);
@@ -62,8 +62,9 @@
         share * (1.0 - share)
     }
 
-    /// The design effect: the factor, at least 1, by which the arm's endpoints differ more than
-    /// sampling error explains. An overload, for example, affects many outcomes of one endpoint.
+    /// Returns the design effect: the factor, at least 1, by which the arm's endpoints differ more
+    /// than sampling error explains. An overload, for example, affects many outcomes of one
+    /// endpoint.
     fn design_effect(&self, arm: &Arm) -> f64 {
         let share = arm.failure_share();
         let dispersion = arm.dispersion;
@@ -110,7 +111,8 @@
     }
 }
 
-/// The score of the one-sided test: the z score times the drift, minus half the squared drift.
+/// Returns the score of the one-sided test: the z score times the drift, minus half the squared
+/// drift.
 ///
 /// The drift is the z score that the minimum effect was expected to give before the latest outcomes
 /// were known. It is therefore computed with the variances of the previous evaluation.
--- a/crates/policy/src/statistics/time_constant.rs
+++ b/crates/policy/src/statistics/time_constant.rs
@@ -33,7 +33,7 @@
         self.micros * (1.0 - remaining) / MICROS_PER_SECOND
     }
 
-    /// The time constant in microseconds.
+    /// Returns the time constant in microseconds.
     pub const fn as_micros(self) -> f64 {
         self.micros
     }
--- a/crates/policy/src/types/endpoint.rs
+++ b/crates/policy/src/types/endpoint.rs
@@ -19,7 +19,7 @@
 pub struct EndpointEntry<'a> {
     /// Identifies the endpoint; a restarted process may be listed under the same name.
     pub name: &'a str,
-    /// Availability zone.
+    /// Name of the availability zone.
     pub zone: &'a str,
     /// Cell within the availability zone.
     pub cell: u64,
--- a/crates/policy/src/types/ids.rs
+++ b/crates/policy/src/types/ids.rs
@@ -16,7 +16,7 @@
                 Self(number)
             }
 
-            /// The wrapped number, for codecs, logs and collections.
+            /// Returns the wrapped number, for codecs, logs and collections.
             pub const fn get(self) -> $number {
                 self.0
             }
@@ -75,14 +75,14 @@
 /// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request to which the attempt belongs.
     pub request: RequestId,
     /// The index of the attempt within the request.
     pub index: AttemptIndex,
 }
 
 impl AttemptId {
-    /// The attempt at `index` of `request`.
+    /// Creates the id of the attempt at `index` of `request`.
     pub const fn new(request: RequestId, index: AttemptIndex) -> AttemptId {
         AttemptId { request, index }
     }
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -7,7 +7,8 @@
 /// A request received from a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest<'a> {
-    /// Route of the request.
+    /// Route of the request, an index into
+    /// [`Settings::routes`](crate::settings::Settings::routes).
     pub route: RouteIndex,
     /// The client's idempotency key, if it sent one.
     pub idempotency_key: Option<&'a str>,
@@ -44,33 +45,34 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the endpoint responded, with an error or not, after it executed the request or tried
-    /// to. An overload rejection is no response in this sense: an endpoint that only rejects
-    /// attempts does not count as responsive.
+    /// Returns whether the endpoint responded, with an error or not, after it executed the request
+    /// or tried to. An overload rejection is no response in this sense: an endpoint that only
+    /// rejects attempts does not count as responsive.
     pub fn is_response(self) -> bool {
         use AttemptOutcome::{Failed, InvalidRequest, Malformed, Succeeded};
         matches!(self, Succeeded | Failed | Malformed | InvalidRequest)
     }
 
-    /// Whether the attempt failed with an error, whatever its duration.
+    /// Returns whether the attempt ended with an error response, a malformed response or a
+    /// connection reset, regardless of its duration.
     pub fn is_error(self) -> bool {
         use AttemptOutcome::{ConnectionReset, Failed, Malformed};
         matches!(self, Failed | ConnectionReset | Malformed)
     }
 
-    /// Whether the duration of the attempt is evidence of the endpoint's latency.
+    /// Returns whether the duration of the attempt is evidence of the endpoint's latency.
     pub fn measures_latency(self) -> bool {
         use AttemptOutcome::{Succeeded, TimedOut};
         matches!(self, Succeeded | TimedOut)
     }
 
-    /// Whether it is certain that the endpoint did not execute the request.
+    /// Returns whether it is certain that the endpoint did not execute the request.
     pub fn never_executed(self) -> bool {
         use AttemptOutcome::{NotSent, Overloaded, Refused};
         matches!(self, Overloaded | Refused | NotSent)
     }
 
-    /// Whether the outcome is a failure of the endpoint, not of the request or of the host.
+    /// Returns whether the outcome is a failure of the endpoint, not of the request or of the host.
     pub fn counts_against_endpoint(self) -> bool {
         use AttemptOutcome::{Cancelled, InvalidRequest, NotSent, Succeeded};
         !matches!(self, Succeeded | InvalidRequest | Cancelled | NotSent)
@@ -80,7 +82,7 @@
 /// How an attempt ended, and what came with its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Outcome of the attempt.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
     /// Time from the start to the end of the attempt.
     pub duration: Duration,
--- a/crates/policy/src/types/rollout.rs
+++ b/crates/policy/src/types/rollout.rs
@@ -18,17 +18,18 @@
 }
 
 impl RolloutPhase {
-    /// Whether the build serves and is not being rolled back.
+    /// Returns whether the build serves and is not being rolled back.
     pub fn is_serving(self) -> bool {
         matches!(self, RolloutPhase::Canary | RolloutPhase::Released)
     }
 
-    /// Whether the build is being rolled back or has been.
+    /// Returns whether the build is being rolled back or has been.
     pub fn is_rollback(self) -> bool {
         matches!(self, RolloutPhase::RollingBack | RolloutPhase::Withdrawn)
     }
 
-    /// Whether the rollout is over: its state stays the same until the next build is offered.
+    /// Returns whether the rollout has ended: the build is released or withdrawn. A released build
+    /// may still be rolled back.
     pub fn has_ended(self) -> bool {
         matches!(self, RolloutPhase::Released | RolloutPhase::Withdrawn)
     }
--- a/crates/policy/src/types/time.rs
+++ b/crates/policy/src/types/time.rs
@@ -14,28 +14,28 @@
     /// The latest timestamp; stands for "never".
     pub const MAX: Timestamp = Timestamp(u64::MAX);
 
-    /// The time `micros` microseconds after the origin.
+    /// Creates the timestamp `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Microseconds from `earlier` to this time; 0 if `earlier` is later.
+    /// Returns the microseconds from `earlier` to this time; 0 if `earlier` is later.
     pub const fn micros_since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Whole microseconds of a duration, saturating at [`u64::MAX`].
+/// Returns a duration in whole microseconds, saturating at [`u64::MAX`].
 pub fn whole_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whole microseconds of a duration as a floating-point number for formulas.
+/// Returns a duration in whole microseconds as a floating-point number, for formulas.
 pub fn fractional_micros(duration: Duration) -> f64 {
     whole_micros(duration) as f64
 }
@@ -58,7 +58,7 @@
 
 impl Sub for Timestamp {
     type Output = Duration;
-    /// Duration from `earlier` to this time; zero if `earlier` is later.
+    /// Returns the duration from `earlier` to this time; zero if `earlier` is later.
     fn sub(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.micros_since(earlier))
     }
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -24,7 +24,7 @@
         EvidenceTest::FleetSlowdown,
     ];
 
-    /// Index of the test in arrays with one value for each test.
+    /// Returns the index of the test in arrays with one value for each test.
     pub const fn index(self) -> usize {
         self as usize
     }
@@ -33,9 +33,9 @@
 /// Number of failures among a number of outcomes. Both counts decay, so they may be fractional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FailureCounts {
-    /// Outcomes that the test counts as failures.
+    /// Number of outcomes that the test counts as failures.
     pub failures: f64,
-    /// All outcomes.
+    /// Number of all outcomes.
     pub outcomes: f64,
 }
 
@@ -50,7 +50,7 @@
     pub test: EvidenceTest,
     /// Outcomes of the build, including those restored from a snapshot. For
     /// [`EvidenceTest::FleetSlowdown`]: outcomes of the endpoints with the smallest shares of slow
-    /// responses, whatever build they run.
+    /// responses, regardless of the builds that they run.
     pub candidate: FailureCounts,
     /// Outcomes that the candidate is compared with, including the prior outcomes that are added to
     /// the fleet baseline and to a baseline without endpoints in service.
--- a/crates/policy/src/types/vote.rs
+++ b/crates/policy/src/types/vote.rs
@@ -22,7 +22,7 @@
     pub build: BuildNumber,
     /// The stage voted on.
     pub stage: StageIndex,
-    /// The vote.
+    /// What the platform is asked to do with the build.
     pub vote: Vote,
 }
 
