--- a/crates/policy/tests/policy/evaluation.rs
+++ b/crates/policy/tests/policy/evaluation.rs
@@ -13,7 +13,7 @@
     list_endpoints, millis, rollback_vote, settings, single_stage_settings,
 };
 
-/// An instance with two endpoints of each build while the candidate is a canary.
+/// Returns an instance with two endpoints of each build while the candidate is a canary.
 fn instance_during_canary(traffic_cap: f64) -> Instance {
     let mut instance = Instance::new(single_stage_settings(0.5));
     instance.step_now(|policy| {
@@ -24,8 +24,8 @@
     instance
 }
 
-/// Number of rollback votes cast in six seconds if this number of every ten attempts at the
-/// candidate fail.
+/// Returns the number of rollback votes cast in six seconds if this number of every ten attempts at
+/// the candidate fail.
 fn rollback_votes(failures_in_ten: u64) -> usize {
     let mut instance = instance_during_canary(0.5);
     let mut traffic = CanaryTraffic::new(failures_in_ten);
@@ -131,8 +131,8 @@
     })
 }
 
-/// Whether the candidate is rolled back after all attempts in flight at its endpoint have ended
-/// simultaneously with this outcome, three times.
+/// Returns whether the candidate is rolled back after all attempts in flight at its endpoint have
+/// ended simultaneously with this outcome, three times.
 fn is_rolled_back_after(outcome: AttemptOutcome) -> bool {
     let mut instance = Instance::new(single_stage_settings(1.0));
     instance.step_now(|policy| {
@@ -240,8 +240,8 @@
     assert!(decisions.count(&rollback_vote()) > 0);
 }
 
-/// Whether the candidate is rolled back if its responses take this long and those of the baseline
-/// take 20 ms. The instance has received three responses of each route before the rollout.
+/// Returns whether the candidate is rolled back if its responses take this long and those of the
+/// baseline take 20 ms. The instance has received three responses of each route before the rollout.
 fn is_rolled_back_at_candidate_latency(candidate_latency: Duration) -> bool {
     let mut instance = Instance::new(single_stage_settings(0.5));
     instance.step_now(|policy| list_endpoints(policy, &["o1", "o2"], BASELINE));
@@ -276,8 +276,8 @@
     assert!(is_rolled_back_at_candidate_latency(millis(70)));
 }
 
-/// Whether the candidate is rolled back if the responses of both builds take this long during its
-/// rollout, and those of the baseline took 10 ms before it.
+/// Returns whether the candidate is rolled back if the responses of both builds take this long
+/// during its rollout, and those of the baseline took 10 ms before it.
 fn is_rolled_back_at_fleet_latency(latency_during_rollout: Duration) -> bool {
     let mut instance = Instance::new(Settings {
         stage_caps: vec![0.1, 1.0],
--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -109,7 +109,8 @@
     status.traffic_cap(traffic_cap).announce(policy);
 }
 
-/// An instance whose only endpoint runs the canary, and to which this number of requests was sent.
+/// Returns an instance whose only endpoint runs the canary, and to which this number of requests
+/// was sent.
 fn instance_during_canary(traffic_cap: f64, requests: u64) -> Instance {
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| {
@@ -189,8 +190,8 @@
     assert_eq!(attempts_after_cap_change(0.5), 0);
 }
 
-/// Whether an attempt at a canary that was started under a cap of 0.1 may still be written after
-/// the cap has changed to `traffic_cap`.
+/// Returns whether an attempt at a canary that was started under a cap of 0.1 may still be written
+/// after the cap has changed to `traffic_cap`.
 fn may_write_under_cap(traffic_cap: f64) -> bool {
     let mut instance = instance_during_canary(0.1, 1);
     instance.may_write_after(millis(10), attempt_id(0, 0), |policy| {
@@ -204,8 +205,8 @@
     assert!(!may_write_under_cap(0.0));
 }
 
-/// The number of attempts started for two requests 4.01 s after the start of two earlier attempts,
-/// the second of which was written `written_after` its start.
+/// Returns the number of attempts started for two requests 4.01 s after the start of two earlier
+/// attempts, the second of which was written `written_after` its start.
 fn attempts_after_late_write(written_after: Duration) -> usize {
     let mut instance = instance_during_canary(0.1, 2);
     assert!(instance.may_write_after(written_after, attempt_id(1, 0), |_| {}));
--- a/crates/policy/tests/policy/harness/builders.rs
+++ b/crates/policy/tests/policy/harness/builders.rs
@@ -35,7 +35,7 @@
         self
     }
 
-    /// Time left until the client's deadline.
+    /// Sets the time left until the client's deadline.
     pub fn time_remaining(mut self, time_remaining: Duration) -> Self {
         self.request.time_remaining = time_remaining;
         self
@@ -100,7 +100,7 @@
         self
     }
 
-    /// When the endpoint's process started; `None` if that was long ago.
+    /// Sets when the endpoint's process started; `None` if that was long ago.
     pub fn started_at(mut self, started_at: impl Into<Option<Timestamp>>) -> Self {
         self.entry.started_at = started_at.into();
         self
@@ -149,7 +149,7 @@
         self
     }
 
-    /// Time since the current stage and phase started.
+    /// Sets the time since the current stage and phase started.
     pub fn age(mut self, age: Duration) -> Self {
         self.status.age = age;
         self
@@ -169,7 +169,7 @@
 }
 
 impl AttemptResultBuilder {
-    /// An attempt that ends with this outcome and leaves its request open.
+    /// Builds the result of an attempt that ends with this outcome and leaves its request open.
     pub fn new(outcome: AttemptOutcome, duration: Duration) -> AttemptResultBuilder {
         AttemptResultBuilder {
             result: AttemptResult {
@@ -182,12 +182,12 @@
         }
     }
 
-    /// A successful attempt whose response answers the request.
+    /// Builds the result of a successful attempt whose response answers the request.
     pub fn succeeded(duration: Duration) -> AttemptResultBuilder {
         AttemptResultBuilder::new(AttemptOutcome::Succeeded, duration).finishes_request(true)
     }
 
-    /// Whether the request is finished: the client has its answer or no longer waits for one.
+    /// Sets whether the request is finished: the client has its answer or no longer waits for one.
     pub fn finishes_request(mut self, finishes_request: bool) -> Self {
         self.result.request_finished = finishes_request;
         self
--- a/crates/policy/tests/policy/harness/canary_traffic.rs
+++ b/crates/policy/tests/policy/harness/canary_traffic.rs
@@ -13,7 +13,7 @@
 }
 
 impl CanaryTraffic {
-    /// Of every ten attempts at the candidate, `failures_per_ten` fail.
+    /// Creates traffic in which `failures_per_ten` of every ten attempts at the candidate fail.
     pub fn new(failures_per_ten: u64) -> CanaryTraffic {
         CanaryTraffic {
             failures_per_ten,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The number of attempts at the candidate so far.
+    /// Returns the number of attempts at the candidate so far.
     pub fn candidate_attempts(&self) -> u64 {
         self.candidate_attempts
     }
--- a/crates/policy/tests/policy/harness/decisions.rs
+++ b/crates/policy/tests/policy/harness/decisions.rs
@@ -50,7 +50,7 @@
     attempt(request, 1, endpoint)
 }
 
-/// The cancellation of the first attempt of a request.
+/// Returns the cancellation of the first attempt of a request.
 pub fn cancel(request: u64) -> Decision {
     Decision::CancelAttempt {
         attempt: AttemptId::new(RequestId::new(request), AttemptIndex::new(0)),
@@ -75,12 +75,12 @@
     }
 }
 
-/// A vote to roll the candidate back from its first stage.
+/// Returns a vote to roll the candidate back from its first stage.
 pub fn rollback_vote() -> Decision {
     vote(Vote::RollBack)
 }
 
-/// A vote to hold the candidate at its first stage.
+/// Returns a vote to hold the candidate at its first stage.
 pub fn hold_vote() -> Decision {
     vote(Vote::Hold)
 }
@@ -116,18 +116,18 @@
         self.0.contains(decision)
     }
 
-    /// The number of decisions equal to this one.
+    /// Returns the number of decisions equal to this one.
     pub fn count(&self, decision: &Decision) -> usize {
         self.0.iter().filter(|other| *other == decision).count()
     }
 
-    /// The decisions for which the condition holds.
+    /// Returns the decisions for which the condition holds.
     pub fn filtered(&self, condition: impl Fn(&Decision) -> bool) -> Decisions {
         let matching = self.0.iter().filter(|decision| condition(decision));
         Decisions(matching.cloned().collect())
     }
 
-    /// The request and the endpoint of each started attempt.
+    /// Returns the request and the endpoint of each started attempt.
     pub fn attempts(&self) -> impl Iterator<Item = (RequestId, &str)> {
         self.0.iter().filter_map(|decision| match decision {
             Decision::StartAttempt { attempt, endpoint } => {
@@ -141,13 +141,13 @@
         self.attempts().count()
     }
 
-    /// The number of attempts of a request.
+    /// Returns the number of attempts of a request.
     pub fn attempts_of(&self, request: u64) -> usize {
         let request = RequestId::new(request);
         self.attempts().filter(|(id, _)| *id == request).count()
     }
 
-    /// The number of attempts at endpoints whose names start with `prefix`.
+    /// Returns the number of attempts at endpoints whose names start with `prefix`.
     pub fn attempts_at(&self, prefix: &str) -> usize {
         let attempts = self.attempts();
         attempts
@@ -155,7 +155,7 @@
             .count()
     }
 
-    /// The number of health checks of endpoints whose names start with `prefix`.
+    /// Returns the number of health checks of endpoints whose names start with `prefix`.
     pub fn health_checks_of(&self, prefix: &str) -> usize {
         let is_match = |decision: &&Decision| match decision {
             Decision::StartHealthCheck { endpoint } => endpoint.starts_with(prefix),
@@ -164,7 +164,7 @@
         self.0.iter().filter(is_match).count()
     }
 
-    /// The votes cast.
+    /// Returns the votes cast.
     pub fn votes(&self) -> impl Iterator<Item = Vote> {
         self.0.iter().filter_map(|decision| match decision {
             Decision::CastVote { ballot } => Some(ballot.vote),
--- a/crates/policy/tests/policy/harness/exchange.rs
+++ b/crates/policy/tests/policy/harness/exchange.rs
@@ -14,7 +14,8 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// A request on the idempotent route, sent 10 ms after the previous step.
+    /// Creates the exchange of a request on the idempotent route, sent 10 ms after the previous
+    /// step.
     pub fn new(id: u64) -> Exchange<'a> {
         Exchange {
             id,
@@ -29,14 +30,14 @@
         self
     }
 
-    /// Time from the previous step to the step of the request.
+    /// Sets the time from the previous step to the step of the request.
     pub fn pause(mut self, pause: Duration) -> Self {
         self.pause = pause;
         self
     }
 
-    /// Time from the request to the step that reports the result; by default, the attempt's
-    /// duration.
+    /// Sets the time from the request to the step that reports the result; by default, the
+    /// attempt's duration.
     pub fn response_after(mut self, response_after: Duration) -> Self {
         self.response_after = Some(response_after);
         self
--- a/crates/policy/tests/policy/harness/instance.rs
+++ b/crates/policy/tests/policy/harness/instance.rs
@@ -102,14 +102,14 @@
         may_write.expect("a step should deliver its events")
     }
 
-    /// The sums from which the baseline latency of a route is computed.
+    /// Returns the sums from which the baseline latency of a route is computed.
     pub fn route_latency(&mut self, route: RouteIndex) -> RouteLatency {
         let latency = self.policy.route_latency(route);
         latency.expect("the route should be known")
     }
 }
 
-/// The id of an attempt of a request, by the attempt's index.
+/// Returns the id of an attempt of a request, by the attempt's index.
 pub fn attempt_id(request: u64, index: usize) -> AttemptId {
     AttemptId::new(RequestId::new(request), AttemptIndex::new(index))
 }
--- a/crates/policy/tests/policy/harness/saved_state.rs
+++ b/crates/policy/tests/policy/harness/saved_state.rs
@@ -101,19 +101,19 @@
         }
     }
 
-    /// The number of endpoint records with this name.
+    /// Returns the number of endpoint records with this name.
     pub fn records_of_endpoint(&self, name: &str) -> usize {
         let is_named = |saved: &&SavedEndpoint| saved.name == name;
         self.endpoints.iter().filter(is_named).count()
     }
 
-    /// The number of outcomes in the first test, over all endpoints and builds.
+    /// Returns the number of outcomes in the first test, over all endpoints and builds.
     pub fn total_outcomes(&self) -> f64 {
         let first_test = self.outcomes.iter().map(|saved| saved.outcomes[0]);
         first_test.sum()
     }
 
-    /// The rejected build, if there is one.
+    /// Returns the rejected build, if there is one.
     pub fn rejected_build(&self) -> Option<BuildNumber> {
         self.rejection.map(|saved| saved.build)
     }
--- a/crates/policy/tests/policy/harness/scenario.rs
+++ b/crates/policy/tests/policy/harness/scenario.rs
@@ -23,7 +23,7 @@
 /// The build under evaluation.
 pub const CANDIDATE: u32 = 2;
 
-/// A duration of this many milliseconds.
+/// Returns a duration of this many milliseconds.
 pub const fn millis(number: u64) -> Duration {
     Duration::from_millis(number)
 }
@@ -49,7 +49,7 @@
     ]
 }
 
-/// Settings of a single instance in zone `z1`, with three stages and with health checks,
+/// Returns settings of a single instance in zone `z1`, with three stages and with health checks,
 /// cancellation and hedging allowed.
 pub fn settings() -> Settings {
     Settings {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Settings with a single stage that is open to requests of all routes.
+/// Returns settings with a single stage that is open to requests of all routes.
 pub fn single_stage_settings(traffic_cap: f64) -> Settings {
     Settings {
         stage_caps: vec![traffic_cap],
--- a/crates/policy/tests/policy/health.rs
+++ b/crates/policy/tests/policy/health.rs
@@ -190,8 +190,8 @@
     }
 }
 
-/// An instance whose two endpoints `m1` and `m2` have just been ejected. Outside panic mode, each
-/// would have to pass 16 health checks.
+/// Returns an instance whose two endpoints `m1` and `m2` have just been ejected. Outside panic
+/// mode, each would have to pass 16 health checks.
 fn instance_in_panic_mode() -> Instance {
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| list_endpoints(policy, &["m1", "m2"], BASELINE));
--- a/crates/policy/tests/policy/idempotency.rs
+++ b/crates/policy/tests/policy/idempotency.rs
@@ -22,7 +22,8 @@
 }
 
 impl RetryCase {
-    /// An attempt that has failed after 10 ms, with another endpoint in the same zone.
+    /// Creates the case of an attempt that has failed after 10 ms, with another endpoint in the
+    /// same zone.
     fn new(route: RouteIndex) -> RetryCase {
         RetryCase {
             route,
--- a/crates/policy/tests/policy/key_builds.rs
+++ b/crates/policy/tests/policy/key_builds.rs
@@ -98,7 +98,8 @@
     request.send(policy, id);
 }
 
-/// An instance during a canary, with request 1 with the key `a` in flight at its only endpoint.
+/// Returns an instance during a canary, with request 1 with the key `a` in flight at its only
+/// endpoint.
 fn instance_with_key_in_flight_at(endpoint: &str, build: u32) -> Instance {
     let mut instance = Instance::new(monotonic_settings());
     let decisions = instance.step_now(|policy| {
@@ -110,8 +111,8 @@
     instance
 }
 
-/// An instance with request 1 with the key `a` in flight at the candidate, whose endpoint `m2` is
-/// draining. The only ready endpoint is `m1`, which runs the baseline.
+/// Returns an instance with request 1 with the key `a` in flight at the candidate, whose endpoint
+/// `m2` is draining. The only ready endpoint is `m1`, which runs the baseline.
 fn instance_with_key_in_flight_at_candidate() -> Instance {
     let mut instance = instance_with_key_in_flight_at("m2", CANDIDATE);
     instance.step_now(|policy| {
@@ -198,8 +199,8 @@
     AnswerCase::new(AttemptOutcome::Refused, true),
 ];
 
-/// An instance with two requests with the key `a` in flight: first request 1 at the baseline, then
-/// request 2 at the candidate.
+/// Returns an instance with two requests with the key `a` in flight: first request 1 at the
+/// baseline, then request 2 at the candidate.
 fn instance_with_key_in_flight_at_both_builds() -> Instance {
     let mut instance = instance_with_key_in_flight_at("m1", BASELINE);
     let at_candidate = instance.step(millis(1), |policy| {
--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -90,7 +90,7 @@
     },
 ];
 
-/// An instance that has measured the latency of the endpoint `m1` over 120 responses.
+/// Returns an instance that has measured the latency of the endpoint `m1` over 120 responses.
 fn instance_with_known_latency() -> Instance {
     let mut instance = Instance::new(settings());
     instance.step_now(|policy| list_endpoints(policy, &["m1"], BASELINE));
@@ -113,7 +113,7 @@
     }
 }
 
-/// The mean latency of the responses of the idempotent route, in microseconds.
+/// Returns the mean latency of the responses of the idempotent route, in microseconds.
 fn mean_latency(instance: &mut Instance) -> f64 {
     let sums = instance.route_latency(IDEMPOTENT);
     sums.latency / sums.responses
--- a/crates/policy/tests/policy/rule_checker/cases.rs
+++ b/crates/policy/tests/policy/rule_checker/cases.rs
@@ -18,7 +18,7 @@
 /// The number of histories within which a mismatched setting must be detected.
 const HISTORIES_PER_MISMATCH: u64 = 40;
 
-/// Settings in which each bit selects one of the two values of a limit.
+/// Returns settings in which each bit selects one of the two values of a limit.
 fn settings_with_limits(bits: usize) -> Settings {
     let is_on = |bit: usize| bits >> bit & 1 == 1;
     Settings {
--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -68,7 +68,7 @@
         policy.on_rollout_status(self.rollout);
     }
 
-    /// Applies a lowered cap once its grace period is over.
+    /// Applies a lowered cap once its grace period has ended.
     fn apply_lower_cap(&mut self) {
         if self.lower_cap_applies_at.is_some_and(|at| self.now >= at) {
             self.effective_cap = EffectiveCap {
@@ -197,7 +197,8 @@
         self.list_endpoint(policy, index);
     }
 
-    /// The newest build or the one before it. Sometimes the newest one has not been announced yet.
+    /// Returns the newest build or the one before it. Sometimes the newest one has not been
+    /// announced yet.
     fn build_of_new_process(&mut self, change: u64) -> BuildNumber {
         let is_unannounced = self.random.rand_u64().is_multiple_of(8);
         let newest = self.rollout.build.get() + u32::from(is_unannounced);
@@ -224,7 +225,7 @@
         }
     }
 
-    /// A client flags an answer that an endpoint gave 100 ms ago.
+    /// Lets a client flag an answer that an endpoint gave 100 ms ago.
     fn flag_answer(&mut self, policy: &mut Balancer) {
         let index = (self.random.rand_u64() % ENDPOINT_COUNT) as usize;
         policy.on_answer_flagged(&endpoint_name(index), millis(100));
--- a/crates/policy/tests/policy/rule_checker/model.rs
+++ b/crates/policy/tests/policy/rule_checker/model.rs
@@ -55,7 +55,7 @@
         self.outcome.is_none()
     }
 
-    /// Whether the request may have been executed, decided independently of the policy.
+    /// Returns whether the request may have been executed, decided independently of the policy.
     pub fn may_have_executed(&self) -> bool {
         !matches!(
             self.outcome,
@@ -138,7 +138,7 @@
 }
 
 impl Observer {
-    /// The state before the first step: all endpoints run the released baseline.
+    /// Creates the state before the first step: all endpoints run the released baseline.
     pub fn new(settings: Settings, seed: u64) -> Observer {
         let mut random = Rand64::new(u128::from(seed));
         let endpoint = |index: u64| SimulatedEndpoint {
@@ -195,13 +195,14 @@
         }
     }
 
-    /// Whether the build is newer than the announced one, or is the announced one and not released.
+    /// Returns whether the build is newer than the announced one, or is the announced one and not
+    /// released.
     pub fn is_under_evaluation(&self, build: BuildNumber) -> bool {
         let newest = self.rollout.build;
         build > newest || (build == newest && self.rollout.phase != RolloutPhase::Released)
     }
 
-    /// Whether the client of a request still waits for an answer.
+    /// Returns whether the client of a request still waits for an answer.
     pub fn is_open(&self, request: RequestId) -> bool {
         let request = self.requests.get(&request);
         request.is_some_and(|request| !request.finished)
@@ -220,12 +221,12 @@
     }
 }
 
-/// The name of an endpoint in the endpoint list.
+/// Returns the name of an endpoint in the endpoint list.
 pub fn endpoint_name(index: usize) -> String {
     format!("m{index}")
 }
 
-/// The index of the endpoint with this name.
+/// Returns the index of the endpoint with this name.
 pub fn endpoint_index(name: &str) -> usize {
     let index = name.strip_prefix('m').and_then(|index| index.parse().ok());
     index.expect("the name should be that of a simulated endpoint")
--- a/crates/policy/tests/policy/rule_checker/rules.rs
+++ b/crates/policy/tests/policy/rule_checker/rules.rs
@@ -67,7 +67,8 @@
         });
     }
 
-    /// Whether the endpoint shares idempotency keys with the one to which the attempt was sent.
+    /// Returns whether the endpoint shares idempotency keys with the one to which the attempt was
+    /// sent.
     fn shares_keys(&self, scope: KeyScope, attempt: &SentAttempt, endpoint: usize) -> bool {
         let endpoint = &self.endpoints[endpoint];
         match scope {
@@ -104,7 +105,7 @@
 
 /// Rule 4: a warming endpoint is not overloaded.
 impl Observer {
-    /// Whether the endpoint's process started less than the warm-up time ago.
+    /// Returns whether the endpoint's process started less than the warm-up time ago.
     pub fn is_warming_up(&self, endpoint: usize) -> bool {
         let started_at = self.endpoints[endpoint].started_at;
         started_at.is_some_and(|started_at| self.now - started_at < self.settings.warm_up_time)
@@ -130,8 +131,8 @@
         });
     }
 
-    /// The number of attempts that a warming endpoint of this age, in microseconds, can serve
-    /// within the overload window.
+    /// Returns the number of attempts that a warming endpoint of this age, in microseconds, can
+    /// serve within the overload window.
     fn max_warm_up_attempts(&self, age: f64) -> f64 {
         let settings = &self.settings;
         let warm_up_time = fractional_micros(settings.warm_up_time);
@@ -198,8 +199,8 @@
         });
     }
 
-    /// The cap of a build under evaluation. A build that has not been announced yet has the cap of
-    /// the first stage.
+    /// Returns the cap of a build under evaluation. A build that has not been announced yet has the
+    /// cap of the first stage.
     fn cap_of(&self, build: BuildNumber) -> EffectiveCap {
         if build == self.rollout.build {
             self.effective_cap
--- a/crates/policy/tests/policy/sequential_test.rs
+++ b/crates/policy/tests/policy/sequential_test.rs
@@ -5,7 +5,7 @@
     sprt_score,
 };
 
-/// Wald's bounds for a false alarm rate of 5 % and a miss rate of 20 %.
+/// Returns Wald's bounds for a false alarm rate of 5 % and a miss rate of 20 %.
 fn design_bounds() -> WaldBounds {
     WaldBounds::new(0.05, 0.20)
 }
@@ -56,7 +56,7 @@
 const VARIANCE_FLOOR: f64 = 0.0099;
 
 impl ScoreCase {
-    /// A sequential test with 100 outcomes in each arm and no data on their dispersion over
+    /// Returns a sequential test with 100 outcomes in each arm and no data on their dispersion over
     /// endpoints.
     fn test(&self) -> FailureTest {
         let arm = |failures| Arm {
@@ -118,7 +118,7 @@
     }
 }
 
-/// An arm of four endpoints with 50 outcomes each.
+/// Returns an arm of four endpoints with 50 outcomes each.
 fn arm_of_endpoints(failures: [f64; 4]) -> Arm {
     let mut arm = Arm::default();
     for failures_of_endpoint in failures {
@@ -167,7 +167,7 @@
     failures: f64,
 }
 
-/// Endpoints with 20 outcomes each.
+/// Returns endpoints with 20 outcomes each.
 fn endpoint_shares(failures: &[f64]) -> Vec<EndpointOutcomes> {
     let share = |failures: &f64| EndpointOutcomes {
         outcomes: 20.0,
@@ -176,8 +176,8 @@
     failures.iter().map(share).collect()
 }
 
-/// Sixty endpoints, in equal numbers with no outcomes, with one success, and with one success and
-/// one failure.
+/// Returns sixty endpoints, in equal numbers with no outcomes, with one success, and with one
+/// success and one failure.
 fn endpoints_with_few_outcomes() -> Vec<EndpointOutcomes> {
     let share = |index: u32| EndpointOutcomes {
         outcomes: f64::from(index % 3),
--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -16,7 +16,7 @@
     single_stage_settings,
 };
 
-/// An instance that starts during a canary.
+/// Returns an instance that starts during a canary.
 fn start_during_canary(now: Timestamp) -> Instance {
     let mut instance = Instance::starting_at(now, single_stage_settings(0.5));
     instance.step_now(|policy| {
@@ -28,7 +28,7 @@
     instance
 }
 
-/// An instance that restarts during a canary and restores the saved state.
+/// Returns an instance that restarts during a canary and restores the saved state.
 fn restart_during_canary(now: Timestamp, saved: &SavedState) -> Instance {
     let mut instance = start_during_canary(now);
     instance.step_now(|policy| saved.restore(policy));
@@ -63,7 +63,7 @@
     failures_in_ten: 4,
 };
 
-/// The state saved by an instance that has rejected the candidate, and when it was saved.
+/// Returns the state saved by an instance that has rejected the candidate, and when it was saved.
 fn saved_after_rejection() -> (SavedState, Timestamp) {
     let mut instance = start_during_canary(START);
     assert!(
@@ -142,8 +142,8 @@
     );
 }
 
-/// An instance with four endpoints that has restored `m1` as slow. Health checks are disabled, so a
-/// restored ejection has no effect.
+/// Returns an instance with four endpoints that has restored `m1` as slow. Health checks are
+/// disabled, so a restored ejection has no effect.
 fn instance_with_restored_slow_endpoint(ejected: bool) -> Instance {
     let mut instance = Instance::new(Settings {
         health_checks: false,
@@ -286,7 +286,7 @@
     });
 }
 
-/// Number of attempts at a warming endpoint in 1.5 seconds.
+/// Returns the number of attempts at a warming endpoint in 1.5 seconds.
 fn attempts_at_warming_endpoint(restores_snapshot: bool) -> usize {
     let mut instance = Instance::new(settings());
     let started_at = instance.now() - millis(100);
--- a/crates/policy/tests/policy/warm_up.rs
+++ b/crates/policy/tests/policy/warm_up.rs
@@ -17,7 +17,7 @@
 }
 
 impl Deployment {
-    /// An instance that has served requests for ten seconds with five warm endpoints.
+    /// Returns an instance that has served requests for ten seconds with five warm endpoints.
     fn warm_instance(&self, instance_index: u32) -> Instance {
         let mut instance = Instance::new(Settings {
             instance_count: self.instances,
@@ -41,8 +41,8 @@
         instance
     }
 
-    /// Number of attempts of one instance at an endpoint in the 1.5 seconds after the endpoint's
-    /// start, if it is the only endpoint.
+    /// Returns the number of attempts of one instance at an endpoint in the 1.5 seconds after the
+    /// endpoint's start, if it is the only endpoint.
     fn attempts_at_new_endpoint(&self, instance: &mut Instance) -> usize {
         let started_at = instance.now();
         instance.step_now(|policy| {
