--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -12,7 +12,8 @@
 /// Limits attempts at builds under evaluation: within any window, their number is at most a fixed
 /// allowance plus the traffic cap times the number of admitted requests.
 ///
-/// [`ExposureLimiter::expire`] bounds its size by removing events older than the window.
+/// [`ExposureLimiter::remove_expired`] bounds its size by removing events that are older than the
+/// window.
 #[derive(Debug, Default)]
 pub(crate) struct ExposureLimiter {
     admitted_requests: SlidingWindow,
@@ -22,7 +23,7 @@
 }
 
 impl ExposureLimiter {
-    /// Records that a request has been admitted.
+    /// Adds an admitted request to the count of requests.
     pub(crate) fn record_request(&mut self, route: RouteIndex, now: Timestamp) {
         let key = WindowKey {
             build: ALL_BUILDS,
@@ -31,7 +32,7 @@
         self.admitted_requests.push(key, now);
     }
 
-    /// Records that an attempt has been sent to a build.
+    /// Adds an attempt at a build to the count of attempts.
     pub(crate) fn record_attempt(&mut self, key: WindowKey, now: Timestamp) {
         self.attempts.push(key, now);
     }
@@ -50,7 +51,7 @@
 
     /// Removes events that are older than the window, and resets the count of requests if a lowered
     /// cap has taken effect.
-    pub(crate) fn expire(&mut self, context: &StepContext) {
+    pub(crate) fn remove_expired(&mut self, context: &StepContext) {
         let now = context.now;
         if self.lower_cap_applies_at.take_if(|at| now >= *at).is_some() {
             self.admitted_requests.clear();
@@ -92,9 +93,9 @@
         (attempts + 1) as f64 <= settings.exposure_allowance + cap * requests as f64
     }
 
-    /// Number of requests admitted within the window, on one route or on all routes if `None`. A
-    /// request at exactly the start of the window is excluded, whereas an attempt at that time is
-    /// included, so that the limit errs on the low side.
+    /// Returns the number of requests admitted within the window, on one route or on all routes if
+    /// `None`. A request at exactly the start of the window is excluded, whereas an attempt at that
+    /// time is included, so that events at the boundary can only lower the limit.
     fn requests_since(&self, route: Option<RouteIndex>, window_start: Timestamp) -> usize {
         let after_start = Timestamp::from_micros(window_start.as_micros() + 1);
         self.admitted_requests
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -8,18 +8,18 @@
     BEST_ENDPOINTS_FRACTION, EVIDENCE_TIME_CONSTANTS, MAX_RESTORED_BASELINE_OUTCOMES,
     MAX_RESTORED_CANDIDATE_OUTCOMES, PRIOR_FAILURES, PRIOR_OUTCOMES,
 };
-use crate::statistics::{Arm, Arms, EndpointOutcomes, OutcomeCounts, OutcomeKey, PerTest};
+use crate::statistics::{Arm, Arms, EndpointOutcomes, EvidenceTestMap, OutcomeCounts, OutcomeKey};
 use crate::types::{BuildNumber, EndpointIndex, EvidenceTest, Timestamp};
 
 /// The evidence used in one evaluation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Evidence {
     /// This instance's own outcomes.
-    own: PerTest<Arms>,
+    own: EvidenceTestMap<Arms>,
     /// Outcomes from before this instance's restart.
-    restored: PerTest<Arms>,
+    restored: EvidenceTestMap<Arms>,
     /// The arms passed to the tests: own outcomes, a limited number of restored ones, and priors.
-    tested: PerTest<Arms>,
+    tested: EvidenceTestMap<Arms>,
     /// No endpoint of the baseline is in service.
     pub(super) lacks_baseline_endpoints: bool,
 }
@@ -35,17 +35,18 @@
         self.tested[test]
     }
 
-    /// Outcomes of the build under evaluation that this instance has counted since it started.
+    /// Returns the outcomes of the build under evaluation that this instance has counted since it
+    /// started.
     pub(super) fn own_candidate(&self, test: EvidenceTest) -> Arm {
         self.own[test].candidate
     }
 
-    /// Outcomes of the build under evaluation from before this instance's restart.
+    /// Returns the outcomes of the build under evaluation from before this instance's restart.
     pub(super) fn restored_candidate(&self, test: EvidenceTest) -> Arm {
         self.restored[test].candidate
     }
 
-    /// The number of restored outcomes of the build under evaluation that a test uses.
+    /// Returns the number of restored outcomes of the build under evaluation that a test uses.
     pub(super) fn counted_restored_outcomes(&self, test: EvidenceTest) -> f64 {
         let restored = self.restored_candidate(test).outcomes;
         restored.min(MAX_RESTORED_CANDIDATE_OUTCOMES)
@@ -54,7 +55,7 @@
 
 /// Outcome counts by build and endpoint: this instance's own, and those restored from a snapshot.
 ///
-/// [`OutcomeTable::forget_expired`] bounds its size by removing counts that have decayed.
+/// [`OutcomeTable::remove_expired`] bounds its size by removing counts that have decayed.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeTable {
     own: BTreeMap<OutcomeKey, OutcomeCounts>,
@@ -67,7 +68,7 @@
     pub(super) fn record(
         &mut self,
         key: OutcomeKey,
-        is_failure: PerTest<Option<bool>>,
+        is_failure: EvidenceTestMap<Option<bool>>,
         now: Timestamp,
     ) {
         let counts = self.own.entry(key).or_default();
@@ -115,13 +116,13 @@
         keys
     }
 
-    /// Number of keys with own counts.
+    /// Returns the number of keys with own counts.
     pub(super) fn len(&self) -> usize {
         self.own.len()
     }
 
     /// Removes counts that have decayed to a negligible amount.
-    pub(super) fn forget_expired(&mut self, now: Timestamp) {
+    pub(super) fn remove_expired(&mut self, now: Timestamp) {
         for counts in [&mut self.own, &mut self.restored] {
             counts.retain(|_, counts| {
                 counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
@@ -138,7 +139,7 @@
 
     /// Returns the responses of the endpoints with the smallest shares of slow responses, and
     /// resets the counts of the fleet-wide test for all endpoints.
-    pub(super) fn take_fleet_arm(&mut self, now: Timestamp) -> Arm {
+    pub(super) fn drain_fleet_outcomes(&mut self, now: Timestamp) -> Arm {
         let mut by_endpoint = Vec::new();
         for counts in self.own.values_mut() {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
@@ -192,12 +193,12 @@
         for (key, counts) in counts_up_to(&mut self.own, newest) {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut evidence.arms, counts, key.build == newest);
-            // An ejected endpoint is lost to the fleet rather than slowed down, so the counts of
-            // its present build are left out. Those of an earlier build at that endpoint still
+            // An ejected endpoint is out of service rather than slow, so the counts of its
+            // present build are left out. Those of an earlier build at that endpoint still
             // show how fast the fleet was.
-            let is_lost = fleet.health.is_ejected(key.endpoint)
+            let is_out_of_service = fleet.health.is_ejected(key.endpoint)
                 && fleet.endpoints[key.endpoint].build() == key.build;
-            if !is_lost {
+            if !is_out_of_service {
                 let test = EvidenceTest::FleetSlowdown;
                 evidence.by_endpoint.push(EndpointOutcomes {
                     outcomes: counts.outcomes[test],
@@ -208,8 +209,8 @@
         evidence
     }
 
-    fn restored_evidence(&mut self, newest: BuildNumber, now: Timestamp) -> PerTest<Arms> {
-        let mut arms = PerTest::default();
+    fn restored_evidence(&mut self, newest: BuildNumber, now: Timestamp) -> EvidenceTestMap<Arms> {
+        let mut arms = EvidenceTestMap::default();
         for (key, counts) in counts_up_to(&mut self.restored, newest) {
             counts.decay(now, &EVIDENCE_TIME_CONSTANTS);
             add_counts(&mut arms, counts, key.build == newest);
@@ -223,7 +224,7 @@
 /// Evidence that this instance has collected since it started.
 #[derive(Default)]
 struct OwnEvidence {
-    arms: PerTest<Arms>,
+    arms: EvidenceTestMap<Arms>,
     /// Responses and the slow ones among them, by endpoint, for the fleet-wide test.
     by_endpoint: Vec<EndpointOutcomes>,
 }
@@ -238,7 +239,7 @@
         .filter(move |(key, _)| key.build <= newest)
 }
 
-fn add_counts(arms: &mut PerTest<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
+fn add_counts(arms: &mut EvidenceTestMap<Arms>, counts: &OutcomeCounts, is_candidate: bool) {
     for test in EvidenceTest::ALL {
         let totals = counts.for_test(test);
         let arms = &mut arms[test];
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -36,15 +36,11 @@
 
 /// State that endpoint selection depends on.
 pub(crate) struct RoutingInputs<'a> {
-    /// Rollout state and endpoint table.
     pub(crate) view: RolloutView<'a>,
-    /// Health of the endpoints.
     pub(crate) health: &'a HealthChecker,
-    /// Concurrency limits.
     pub(crate) limits: &'a ConcurrencyLimits,
     /// Limits the traffic to builds under evaluation.
     pub(crate) exposure: &'a ExposureLimiter,
-    /// Load estimates of the endpoints.
     pub(crate) loads: &'a mut EndpointLoads,
     /// Latencies of routes, endpoints, hardware classes and zones.
     pub(crate) latency: &'a mut LatencyModel,
@@ -101,8 +97,8 @@
                 candidates.released.push(index);
             }
         }
-        self.keep_fast_enough(&mut candidates.released, &expected, time_limit);
-        self.keep_fast_enough(&mut candidates.canary, &expected, time_limit);
+        self.retain_within_time_limit(&mut candidates.released, &expected, time_limit);
+        self.retain_within_time_limit(&mut candidates.canary, &expected, time_limit);
         // The probability of an arm is its share of the warm endpoints. Warming endpoints were
         // considered above; if they counted here too, their share of the traffic would go to the
         // warm endpoints of the same build.
@@ -191,7 +187,7 @@
 
     /// Retains the endpoints that are expected to respond in time, if there are any, so that long
     /// requests leave the slow endpoints to short ones.
-    fn keep_fast_enough(
+    fn retain_within_time_limit(
         &self,
         arm: &mut Vec<EndpointIndex>,
         expected: &IndexedTable<HardwareClassIndex, LatencyEstimate>,
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -33,7 +33,7 @@
         self.classes[class].add_weighted(response, now);
     }
 
-    /// Records that a warm endpoint has been in service for a further `time`.
+    /// Adds `time` to the time that warm endpoints of a hardware class have been in service.
     pub(super) fn record_ready_time(
         &mut self,
         class: HardwareClassIndex,
@@ -66,9 +66,9 @@
                 weight: all.weight + class.weight,
             });
         let by_preference = [sums[class.get()], all];
-        let known = by_preference
+        let sufficient_sums = by_preference
             .into_iter()
             .find(|sums| sums.weight >= MIN_READY_SECONDS);
-        known.map(|sums| sums.sum / sums.weight)
+        sufficient_sums.map(|sums| sums.sum / sums.weight)
     }
 }
