--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Size of a buffer in bytes.
-pub const BUFFER_SIZE: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Maximum number of buffers written by one system call.
 const MAX_WRITE_SLICES: usize = 16;
@@ -56,7 +56,7 @@
         let bytes = state
             .free
             .pop()
-            .unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
+            .unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
         Buffer {
             bytes,
             start: 0,
@@ -138,7 +138,7 @@
     fn is_last_buffer_full(&self) -> bool {
         self.buffers
             .back()
-            .is_none_or(|last| last.end == BUFFER_SIZE)
+            .is_none_or(|last| last.end == BUFFER_BYTES)
     }
 
     /// Appends bytes, even if the pool is exhausted.
@@ -150,7 +150,7 @@
             let Some(last) = self.buffers.back_mut() else {
                 return;
             };
-            let count = bytes.len().min(BUFFER_SIZE - last.end);
+            let count = bytes.len().min(BUFFER_BYTES - last.end);
             let (fitting, rest) = bytes.split_at(count);
             last.unfilled()[..count].copy_from_slice(fitting);
             last.end += count;
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -4,16 +4,16 @@
 
 use super::arrivals::Arrivals;
 use super::stages::Stage;
-use crate::buffers::{BUFFER_SIZE, Pool};
+use crate::buffers::{BUFFER_BYTES, Pool};
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
 /// Bytes read ahead while a request is pending. Also the limit on unwritten output, at which no
 /// further message of a client that sends without reading is handled.
-const READ_AHEAD: usize = BUFFER_SIZE;
+const READ_AHEAD_BYTES: usize = BUFFER_BYTES;
 /// Bytes read ahead while more than half of the buffers are free. A request's time limit counts
 /// from when it is read, so that reading early measures its arrival more precisely.
-const EXTENDED_READ_AHEAD: usize = 16 * BUFFER_SIZE;
+const EXTENDED_READ_AHEAD_BYTES: usize = 16 * BUFFER_BYTES;
 /// Bytes discarded after an error without waiting for another readiness event. Closing a socket
 /// with unread input resets the connection, and the client could not read the error.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
@@ -113,7 +113,7 @@
     /// client that sends requests without reading responses.
     pub(super) fn accepts_messages(&self) -> bool {
         let is_awaiting = self.pending_request().is_some();
-        !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD
+        !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD_BYTES
     }
 
     fn is_open(&self) -> bool {
@@ -133,9 +133,9 @@
     /// only the read-ahead.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_mostly_free() {
-            EXTENDED_READ_AHEAD
+            EXTENDED_READ_AHEAD_BYTES
         } else {
-            READ_AHEAD
+            READ_AHEAD_BYTES
         };
         if !self.is_open() || !self.accepts_messages() {
             return read_ahead;
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -5,7 +5,7 @@
 use tidescale_policy::types::Timestamp;
 
 use super::connection::{ClientConnection, ClientState};
-use crate::postgres::framing::{MESSAGE_HEADER_SIZE, STARTUP_HEADER_SIZE};
+use crate::postgres::framing::{MESSAGE_HEADER_BYTES, STARTUP_HEADER_BYTES};
 use crate::postgres::{
     self, ClientMessage, ProtocolError, Severity, StartupKind, complete_frame, sqlstate,
     startup_frame,
@@ -46,7 +46,7 @@
         if matches!(self.state, ClientState::AwaitingFirstRequest { .. }) {
             self.state = ClientState::Idle;
         }
-        let arrived_at = self.take_body(MESSAGE_HEADER_SIZE..frame.length, body, now);
+        let arrived_at = self.take_body(MESSAGE_HEADER_BYTES..frame.length, body, now);
         let is_skipping = self.state == ClientState::SkippingToSync;
         match frame.kind {
             ClientMessage::Query if !is_skipping => Ok(MessageResult::Query { arrived_at }),
@@ -95,7 +95,7 @@
         let Some(frame) = startup_frame(&self.connection.input)? else {
             return Ok(MessageResult::Incomplete);
         };
-        self.take_body(STARTUP_HEADER_SIZE..frame.length, body, now);
+        self.take_body(STARTUP_HEADER_BYTES..frame.length, body, now);
         match frame.kind {
             StartupKind::Startup => {
                 if !postgres::startup_has_user(body)? {
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -18,7 +18,7 @@
 /// `ErrorKind` for it only on newer toolchains.
 const EINPROGRESS: i32 = 115;
 /// Maximum number of bytes read by one system call when input is discarded.
-const DISCARD_SIZE: usize = 16 * 1024;
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The result of discarding input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -125,7 +125,7 @@
     /// Discards the input, then reads and discards about `limit` more bytes.
     pub fn discard(&mut self, limit: usize) -> Discarded {
         self.input.skip(self.input.len());
-        let mut scratch = [0; DISCARD_SIZE];
+        let mut scratch = [0; DISCARD_BUFFER_BYTES];
         let mut bytes = 0;
         while self.readable && bytes < limit {
             match (&*self.socket).read(&mut scratch) {
--- a/crates/proxy/src/explain.rs
+++ b/crates/proxy/src/explain.rs
@@ -12,7 +12,7 @@
 /// Lower bound of the divisor of the failure percentage; avoids a division by zero if there are no
 /// outcomes.
 const MIN_OUTCOMES: f64 = 1e-9;
-const HEADER: [&str; 8] = [
+const COLUMN_NAMES: [&str; 8] = [
     "time",
     "build",
     "stage",
@@ -64,7 +64,7 @@
     table
         .load_style(presets::ASCII_MARKDOWN)
         .set_content_arrangement(ContentArrangement::Disabled)
-        .set_header(HEADER);
+        .set_header(COLUMN_NAMES);
     let verdicts: Vec<VerdictLine> = log.lines().filter_map(VerdictLine::parse).collect();
     for verdict in &verdicts {
         table.add_row(verdict.row());
@@ -104,7 +104,7 @@
         self.values.get(key).copied().unwrap_or(UNKNOWN)
     }
 
-    fn row(&self) -> [String; HEADER.len()] {
+    fn row(&self) -> [String; COLUMN_NAMES.len()] {
         let format = self.format;
         [
             self.logged_at.into(),
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -3,7 +3,7 @@
 use tidescale_policy::types::LoadReport;
 
 /// Larger counts are invalid: no endpoint can have that many requests.
-const MAX_COUNT: f64 = 1e6;
+const MAX_REQUEST_COUNT: f64 = 1e6;
 
 /// Parses a load report: comma-separated `name=value` pairs, of which unknown names are ignored.
 /// Returns `None` if a pair has no `=` or a known value is invalid.
@@ -22,5 +22,5 @@
 
 fn parse_count(text: &str) -> Option<f64> {
     let count = text.trim().parse().ok()?;
-    (0.0..=MAX_COUNT).contains(&count).then_some(count)
+    (0.0..=MAX_REQUEST_COUNT).contains(&count).then_some(count)
 }
--- a/crates/proxy/src/log_lines.rs
+++ b/crates/proxy/src/log_lines.rs
@@ -16,7 +16,7 @@
 use crate::postgres::ErrorResponse;
 
 /// Maximum number of characters of an endpoint's error message in the log.
-const MAX_MESSAGE_LENGTH: usize = 200;
+const MAX_MESSAGE_CHARS: usize = 200;
 
 /// The proxy has started and accepts clients.
 pub fn serving(log: &Logger, listen: SocketAddr) {
@@ -154,7 +154,7 @@
 
 /// An endpoint responded with an SQLSTATE that the proxy does not know.
 pub fn unknown_endpoint_error(log: &Logger, endpoint: &str, error: &ErrorResponse) {
-    let message: String = error.message.chars().take(MAX_MESSAGE_LENGTH).collect();
+    let message: String = error.message.chars().take(MAX_MESSAGE_CHARS).collect();
     info!(log, "unknown endpoint error";
         "endpoint" => endpoint, "sqlstate" => &error.code, "error" => message);
 }
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -9,36 +9,36 @@
 /// The code of protocol version 3.0 in a startup message.
 pub const PROTOCOL_VERSION: u32 = 196_608;
 /// The codes that replace the protocol version in other requests at the start of a connection.
-const CANCEL_REQUEST: u32 = 80_877_102;
-const SSL_REQUEST: u32 = 80_877_103;
-const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
 
 /// Size of the header of a startup message: the length and the protocol version.
-pub const STARTUP_HEADER_SIZE: usize = 8;
+pub const STARTUP_HEADER_BYTES: usize = 8;
 /// Size of the header of any other message: the type and the length.
-pub const MESSAGE_HEADER_SIZE: usize = 5;
+pub const MESSAGE_HEADER_BYTES: usize = 5;
 /// Size of the length field, which is included in the length of a message.
-const LENGTH_FIELD_SIZE: usize = 4;
+const LENGTH_FIELD_BYTES: usize = 4;
 
 /// Maximum length of a startup message, as in PostgreSQL.
-const MAX_STARTUP_LENGTH: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 /// Maximum length of a value that clients write, in bytes.
-pub const MAX_VALUE_LENGTH: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Maximum length of the part of a statement that is not the value.
-const MAX_STATEMENT_OVERHEAD: usize = 4096;
+const MAX_STATEMENT_OVERHEAD_BYTES: usize = 4096;
 /// Maximum length of the body of a query: a value in hexadecimal, and the rest of the statement.
-const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + MAX_STATEMENT_OVERHEAD;
+const MAX_QUERY_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_STATEMENT_OVERHEAD_BYTES;
 /// Maximum length of the body of a data row; endpoints return values of some hundred kilobytes.
-pub const MAX_DATA_ROW_BODY: usize = 1024 * 1024;
+pub const MAX_DATA_ROW_BODY_BYTES: usize = 1024 * 1024;
 /// Maximum length of the body of a message with neither a statement nor a value.
-const MAX_OTHER_BODY: usize = 8 * 1024;
+const MAX_OTHER_BODY_BYTES: usize = 8 * 1024;
 
 /// The kinds of messages that one side of a connection sends after the startup message.
 pub trait MessageKind: Copy {
     /// The kind with a type byte; `None` if this side may not send such a message.
     fn from_type_byte(byte: u8) -> Option<Self>;
     /// Maximum length of the body, in bytes.
-    fn max_body(self) -> usize;
+    fn max_body_bytes(self) -> usize;
 }
 
 /// The messages of a client after the startup message.
@@ -80,13 +80,13 @@
         }
     }
 
-    fn max_body(self) -> usize {
+    fn max_body_bytes(self) -> usize {
         match self {
-            ClientMessage::Query => MAX_QUERY_BODY,
+            ClientMessage::Query => MAX_QUERY_BODY_BYTES,
             ClientMessage::ExtendedQuery
             | ClientMessage::FunctionCall
             | ClientMessage::CopyData
-            | ClientMessage::CopyFail => MAX_OTHER_BODY,
+            | ClientMessage::CopyFail => MAX_OTHER_BODY_BYTES,
             ClientMessage::Sync
             | ClientMessage::Flush
             | ClientMessage::CopyDone
@@ -134,14 +134,14 @@
         }
     }
 
-    fn max_body(self) -> usize {
+    fn max_body_bytes(self) -> usize {
         match self {
-            EndpointMessage::DataRow => MAX_DATA_ROW_BODY,
+            EndpointMessage::DataRow => MAX_DATA_ROW_BODY_BYTES,
             EndpointMessage::RowDescription
             | EndpointMessage::CommandComplete
             | EndpointMessage::ParameterStatus
             | EndpointMessage::Error
-            | EndpointMessage::Notice => MAX_OTHER_BODY,
+            | EndpointMessage::Notice => MAX_OTHER_BODY_BYTES,
             EndpointMessage::Authentication | EndpointMessage::BackendKeyData => 8,
             EndpointMessage::ReadyForQuery => 1,
         }
@@ -177,16 +177,16 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(STARTUP_HEADER_SIZE..=MAX_STARTUP_LENGTH).contains(&length) {
+    if !(STARTUP_HEADER_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
         return Err(ProtocolError::StartupLength);
     }
-    let Some(code) = read_u32(input, LENGTH_FIELD_SIZE) else {
+    let Some(code) = read_u32(input, LENGTH_FIELD_BYTES) else {
         return Ok(None);
     };
     let kind = match code {
         PROTOCOL_VERSION => StartupKind::Startup,
-        SSL_REQUEST | GSS_ENCRYPTION_REQUEST if length == 8 => StartupKind::Encryption,
-        CANCEL_REQUEST if length == 16 => StartupKind::Cancel,
+        SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE if length == 8 => StartupKind::Encryption,
+        CANCEL_REQUEST_CODE if length == 16 => StartupKind::Cancel,
         _ => return Err(ProtocolError::UnknownVersion),
     };
     Ok((input.len() >= length).then_some(Frame { kind, length }))
@@ -206,7 +206,7 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(LENGTH_FIELD_SIZE..=kind.max_body() + LENGTH_FIELD_SIZE).contains(&length) {
+    if !(LENGTH_FIELD_BYTES..=kind.max_body_bytes() + LENGTH_FIELD_BYTES).contains(&length) {
         return Err(ProtocolError::MessageLength);
     }
     Ok(Some(Frame {
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -14,10 +14,10 @@
 
 use thiserror::Error;
 
-use super::framing::MAX_VALUE_LENGTH;
+use super::framing::MAX_VALUE_BYTES;
 
 /// Maximum length of a code, id or key, in hexadecimal digits.
-const MAX_IDENTIFIER_LENGTH: usize = 64;
+const MAX_IDENTIFIER_DIGITS: usize = 64;
 /// Maximum time limit of a request: one hour.
 const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
 
@@ -127,7 +127,7 @@
     let (value, rest) = split_at_quote(rest.strip_prefix(INSERT_BEFORE_VALUE)?)?;
     // Each byte is two hexadecimal digits.
     let is_value_valid = value.len().is_multiple_of(2)
-        && value.len() <= 2 * MAX_VALUE_LENGTH
+        && value.len() <= 2 * MAX_VALUE_BYTES
         && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !is_value_valid {
         return None;
@@ -199,6 +199,6 @@
 
 fn is_identifier(text: &str) -> bool {
     !text.is_empty()
-        && text.len() <= MAX_IDENTIFIER_LENGTH
+        && text.len() <= MAX_IDENTIFIER_DIGITS
         && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -37,7 +37,7 @@
 pub use restore::restore;
 
 /// Priority of the snapshot job, which is the only job of the scheduler.
-const PRIORITY: u8 = 1;
+const SNAPSHOT_JOB_PRIORITY: u8 = 1;
 
 /// The outcome of the last of the writes that
 /// [`wait_for_last_result`](SnapshotWriter::wait_for_last_result) has waited for.
@@ -95,7 +95,7 @@
         };
         let interval = settings.write_interval;
         let mut scheduler = Scheduler::new(budgets, now);
-        let job = scheduler.add(PRIORITY, now + interval, interval);
+        let job = scheduler.add(SNAPSHOT_JOB_PRIORITY, now + interval, interval);
         let writer = SnapshotWriter {
             scheduler,
             job,
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -13,10 +13,10 @@
 
 /// Capacity of the queue of snapshots for the thread. One is enough, because each snapshot is
 /// complete.
-const MAX_WAITING: usize = 1;
+const MAX_QUEUED_SNAPSHOTS: usize = 1;
 /// Capacity of the queue of results for the event loop: one for the snapshot being written and one
 /// for the queued one, so that the thread never waits for the event loop.
-const MAX_RESULTS: usize = 2;
+const MAX_QUEUED_RESULTS: usize = 2;
 
 /// The contents of a snapshot that is to be written.
 pub(super) struct PendingWrite {
@@ -51,8 +51,8 @@
     pub(super) fn start<D: Disk + Send + 'static>(
         mut store: Store<D>,
     ) -> io::Result<BackgroundWriter> {
-        let (writes, write_receiver) = sync_channel::<PendingWrite>(MAX_WAITING);
-        let (result_sender, results) = sync_channel(MAX_RESULTS);
+        let (writes, write_receiver) = sync_channel::<PendingWrite>(MAX_QUEUED_SNAPSHOTS);
+        let (result_sender, results) = sync_channel(MAX_QUEUED_RESULTS);
         let work = move || {
             for write in write_receiver {
                 let result = store.save(write.written_at, write.records);
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of endpoints or outcomes collected in a slice, which takes a few tens of
 /// microseconds.
-const SLICE_LENGTH: usize = 64;
+const MAX_ENTRIES_PER_SLICE: usize = 64;
 
 /// The position at which the next slice continues.
 #[derive(Clone, Copy)]
@@ -65,12 +65,12 @@
         };
         match self.cursor {
             Cursor::Endpoints(position) => {
-                let next = policy.save_endpoints(position, SLICE_LENGTH, &mut sink);
+                let next = policy.save_endpoints(position, MAX_ENTRIES_PER_SLICE, &mut sink);
                 self.cursor = next.map_or(Cursor::FIRST_OUTCOMES, Cursor::Endpoints);
                 None
             }
             Cursor::Outcomes(position) => {
-                let next = policy.save_outcomes(position, SLICE_LENGTH, &mut sink);
+                let next = policy.save_outcomes(position, MAX_ENTRIES_PER_SLICE, &mut sink);
                 self.cursor = next.map_or(Cursor::Remaining, Cursor::Outcomes);
                 None
             }
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -13,7 +13,7 @@
 use crate::operators::{self, OperatorSettings, OperatorSettingsError};
 
 /// Maximum number of connections that wait to be accepted.
-const BACKLOG: i32 = 1024;
+const MAX_PENDING_CONNECTIONS: i32 = 1024;
 
 /// Why the proxy did not start, or stopped with an error.
 #[derive(Debug, thiserror::Error)]
@@ -79,6 +79,6 @@
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(MAX_PENDING_CONNECTIONS)?;
     Ok(socket.into())
 }
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -19,7 +19,7 @@
 /// keep-alives, so that the silence timeout would not expire.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The most bytes to read before they are decoded.
-const READ_AHEAD: usize = 256 * 1024;
+const READ_AHEAD_BYTES: usize = 256 * 1024;
 
 /// The connection of an open stream and the response received over it.
 struct OpenStream {
@@ -52,7 +52,7 @@
         let mut response = Ok(());
         let mut fill = Ok(FillStatus::Complete);
         while matches!(fill, Ok(FillStatus::Complete)) && response.is_ok() {
-            fill = self.connection.read(READ_AHEAD);
+            fill = self.connection.read(READ_AHEAD_BYTES);
             any_bytes |= !self.connection.input.is_empty();
             response = self.response.read(&mut self.connection.input);
         }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -7,7 +7,7 @@
 use super::outcomes::{RequestProgress, ResponseError};
 use crate::connection::Connection;
 use crate::load_report;
-use crate::postgres::framing::MESSAGE_HEADER_SIZE;
+use crate::postgres::framing::MESSAGE_HEADER_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame};
 
 /// The state of a connection.
@@ -131,7 +131,7 @@
     pub(super) fn take_body(&mut self, frame: Frame<EndpointMessage>, body: &mut Vec<u8>) {
         let input = &mut self.connection.input;
         body.clear();
-        input.copy_to(MESSAGE_HEADER_SIZE..frame.length, body);
+        input.copy_to(MESSAGE_HEADER_BYTES..frame.length, body);
         input.skip(frame.length);
     }
 
@@ -149,7 +149,7 @@
         body.clear();
         self.connection
             .input
-            .copy_to(MESSAGE_HEADER_SIZE..frame.length, body);
+            .copy_to(MESSAGE_HEADER_BYTES..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
             _ => return Err(ResponseError::Unrequested),
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -14,11 +14,11 @@
 use crate::ids::EndpointConnectionKey;
 use crate::load_report;
 use crate::log_lines;
-use crate::postgres::framing::MAX_DATA_ROW_BODY;
+use crate::postgres::framing::MAX_DATA_ROW_BODY_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame, complete_frame};
 
 /// The most bytes to read before they are handled: the longest message and some more.
-const READ_AHEAD: usize = MAX_DATA_ROW_BODY + 4096;
+const READ_AHEAD_BYTES: usize = MAX_DATA_ROW_BODY_BYTES + 4096;
 /// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
 
@@ -37,7 +37,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let read = connection.connection.read(READ_AHEAD);
+        let read = connection.connection.read(READ_AHEAD_BYTES);
         if matches!(read, Ok(FillStatus::PoolExhausted)) {
             self.pending.push(key);
         }
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -26,7 +26,7 @@
 /// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// The most bytes to read before they are handled.
-const READ_AHEAD: usize = 64 * 1024;
+const READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// A vote that waits for its response, and its connection.
 struct PendingVote {
@@ -242,7 +242,7 @@
 /// Writes and reads as much as possible. Returns whether the connection is still open.
 fn write_and_read(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
-    let read = connection.read(READ_AHEAD);
+    let read = connection.read(READ_AHEAD_BYTES);
     flushed.is_ok() && matches!(read, Ok(fill) if fill != FillStatus::EndOfStream)
 }
 
