--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -74,9 +74,9 @@
     requests: PendingRequests,
     routes: Vec<Route>,
     /// Connections to serve in the next iteration: the next message may already be available.
-    to_serve: Vec<ClientKey>,
+    scheduled: Vec<ClientKey>,
     /// Connections whose read stopped because no buffer was free.
-    starved: Vec<ClientKey>,
+    waiting_for_buffers: Vec<ClientKey>,
     is_shutting_down: bool,
 }
 
@@ -102,8 +102,8 @@
             stages: ConnectionsByStage::default(),
             requests: PendingRequests::new(),
             routes,
-            to_serve: Vec::new(),
-            starved: Vec::new(),
+            scheduled: Vec::new(),
+            waiting_for_buffers: Vec::new(),
             is_shutting_down: false,
         })
     }
@@ -116,8 +116,8 @@
             ListenerState::Drained | ListenerState::Failed => false,
         };
         has_connections_to_accept
-            || !self.to_serve.is_empty()
-            || !self.starved.is_empty() && !context.client_pool.is_exhausted()
+            || !self.scheduled.is_empty()
+            || !self.waiting_for_buffers.is_empty() && !context.client_pool.is_exhausted()
     }
 
     /// Number of requests that are not finished.
@@ -129,14 +129,14 @@
     pub fn on_ready(&mut self, key: ClientKey, readiness: Readiness) {
         if let Some(client) = self.connections.get_mut(key) {
             client.connection.on_ready(readiness);
-            self.to_serve.push(key);
+            self.scheduled.push(key);
         }
     }
 
     /// Takes the connections to serve in this iteration, sorted by key and without duplicates.
     pub fn take_pending(&mut self) -> Vec<ClientKey> {
-        let mut pending = std::mem::take(&mut self.to_serve);
-        pending.append(&mut self.starved);
+        let mut pending = std::mem::take(&mut self.scheduled);
+        pending.append(&mut self.waiting_for_buffers);
         pending.sort_unstable();
         pending.dedup();
         pending
@@ -161,7 +161,7 @@
     /// period of the shutdown ends.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
-        self.to_serve
+        self.scheduled
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -31,10 +31,11 @@
         if stage == Stage::Closing && client.connection.output.is_empty() {
             client.connection.shutdown_write();
         }
-        // A connection in `starved` is served again once buffers are free.
-        let is_starved = || stage != Stage::Closing && self.starved.contains(&key);
-        if has_input_to_handle(client, stage) && !is_starved() {
-            self.to_serve.push(key);
+        // A connection in `waiting_for_buffers` is served again once buffers are free.
+        let waits_for_buffers =
+            || stage != Stage::Closing && self.waiting_for_buffers.contains(&key);
+        if has_input_to_handle(client, stage) && !waits_for_buffers() {
+            self.scheduled.push(key);
         }
         self.set_stage(key, stage, context.io);
         while self.stages.idle_count() > self.max_idle && self.close_longest_idle(context) {}
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -125,7 +125,7 @@
     }
 
     /// Responds to a query without a statement.
-    pub(super) fn answer_empty_query(&mut self) {
+    pub(super) fn respond_to_empty_query(&mut self) {
         let output = &mut self.connection.output;
         postgres::put_empty_query_response(output);
         postgres::put_ready_for_query(output);
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -31,12 +31,12 @@
     /// Reads once and handles the received messages. Continues if there may be more to read.
     fn serve_once(&mut self, key: ClientKey, context: &mut EventContext<'_>) -> ControlFlow<()> {
         self.flush_before_read(key, context)?;
-        let Ok(fill) = self.read(key, context.io) else {
+        let Ok(status) = self.read(key, context.io) else {
             self.close(key, context);
             return ControlFlow::Break(());
         };
-        if fill == FillStatus::PoolExhausted {
-            self.starved.push(key);
+        if status == FillStatus::PoolExhausted {
+            self.waiting_for_buffers.push(key);
             self.free_buffers(key, context);
         }
         if let Err(error) = self.handle_messages(key, context) {
@@ -47,7 +47,7 @@
             .connections
             .get(key)
             .is_some_and(|client| client.accepts_messages() && client.connection.may_be_readable());
-        if may_read_on && fill != FillStatus::PoolExhausted {
+        if may_read_on && status != FillStatus::PoolExhausted {
             ControlFlow::Continue(())
         } else {
             ControlFlow::Break(())
@@ -94,18 +94,18 @@
             FillStatus::Complete if client.connection.has_hung_up() => {
                 Err(io::ErrorKind::UnexpectedEof.into())
             }
-            fill => Ok(fill),
+            status => Ok(status),
         }
     }
 
     /// Closes the connection that has held buffers for an incomplete message for longest, except
-    /// `starved`.
-    fn free_buffers(&mut self, starved: ClientKey, context: &mut EventContext<'_>) {
+    /// `waiting`.
+    fn free_buffers(&mut self, waiting: ClientKey, context: &mut EventContext<'_>) {
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
             .stages
             .entered_stage_before(Stage::ReceivingMessage, latest)
-            .find(|key| *key != starved);
+            .find(|key| *key != waiting);
         if let Some(key) = longest {
             log_lines::client_buffers_exhausted(&context.io.log);
             // Tells the client that its message, of which the rest may be unread, was not executed.
@@ -133,7 +133,7 @@
                 MessageResult::Query { arrived_at } => {
                     let text = postgres::decode_query(&body)?;
                     if text.trim().is_empty() {
-                        client.answer_empty_query();
+                        client.respond_to_empty_query();
                     } else {
                         self.handle_query(key, ReceivedQuery { text, arrived_at }, context);
                     }
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -19,7 +19,7 @@
     }
 
     /// Responds that an endpoint has rejected the request as invalid.
-    pub fn answer_invalid_request(&mut self, id: RequestId) {
+    pub fn reject_invalid_request(&mut self, id: RequestId) {
         self.respond(id, |output| {
             let (code, message) = (sqlstate::SYNTAX_ERROR, "a machine turned it down");
             postgres::put_error(output, Severity::Error, code, message, "");
@@ -59,7 +59,7 @@
             postgres::put_ready_for_query(&mut client.connection.output);
             // A write error is handled when the connection is served in the next iteration.
             let _ = client.connection.flush();
-            self.to_serve.push(key);
+            self.scheduled.push(key);
         }
         self.requests.remove_if_finished(id);
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -7,8 +7,8 @@
 
 /// A monotonic clock of Unix time in microseconds.
 pub struct Clock {
-    started: Instant,
-    started_at: Timestamp,
+    monotonic_start: Instant,
+    unix_start: Timestamp,
 }
 
 impl Clock {
@@ -18,13 +18,13 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started: Instant::now(),
-            started_at: Timestamp::ZERO + since_epoch,
+            monotonic_start: Instant::now(),
+            unix_start: Timestamp::ZERO + since_epoch,
         }
     }
 
     /// The current time.
     pub fn now(&self) -> Timestamp {
-        self.started_at + self.started.elapsed()
+        self.unix_start + self.monotonic_start.elapsed()
     }
 }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -106,9 +106,9 @@
         if !self.readable {
             return Ok(FillStatus::WouldBlock);
         }
-        let fill = self.input.fill(&mut &*self.socket, wanted)?;
-        self.readable = matches!(fill, FillStatus::Complete | FillStatus::PoolExhausted);
-        Ok(fill)
+        let status = self.input.fill(&mut &*self.socket, wanted)?;
+        self.readable = matches!(status, FillStatus::Complete | FillStatus::PoolExhausted);
+        Ok(status)
     }
 
     /// Whether there may be more to read that the event loop will not report again.
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -22,7 +22,7 @@
 /// called again. An instance is required to act on what the service has sent from 6 s after the
 /// last line of its stream.
 const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
-    silence: Duration::from_millis(3500),
+    keep_alive: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -12,7 +12,7 @@
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
 /// Length of the windows in which the lines of a call site are counted.
-const WINDOW: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Maximum number of lines that a call site may write in one window.
 const MAX_LINES_PER_WINDOW: u32 = 5;
 
@@ -45,7 +45,7 @@
             started: now,
             lines: 0,
         });
-        if now.duration_since(window.started) >= WINDOW {
+        if now.duration_since(window.started) >= RATE_WINDOW {
             let suppressed = window.lines.saturating_sub(MAX_LINES_PER_WINDOW);
             window.started = now;
             window.lines = 1;
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -18,7 +18,7 @@
 /// The path of the platform's event stream.
 const EVENTS_PATH: &str = "/bulletin";
 /// Five times the interval of the platform's keep-alive lines, which is 1 s.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(5000);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// The platform's event stream.
 pub struct RolloutStatusStream {
@@ -28,7 +28,7 @@
 impl RolloutStatusStream {
     /// Creates the stream without opening it.
     pub fn new(address: SocketAddr, seed: u64) -> RolloutStatusStream {
-        let timeouts = StreamTimeouts::responsive_server(SILENCE_TIMEOUT);
+        let timeouts = StreamTimeouts::responsive_server(KEEP_ALIVE_TIMEOUT);
         RolloutStatusStream {
             stream: PersistentStream::new(Component::RolloutStatus, address, timeouts, seed),
         }
@@ -78,7 +78,7 @@
 pub fn apply_event(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
     match Event::parse(lines)? {
         Event::Status(status) => status.apply(policy),
-        Event::AnswerFlagged { endpoint, age } => policy.on_answer_flagged(&endpoint, age),
+        Event::ResponseFlagged { endpoint, age } => policy.on_answer_flagged(&endpoint, age),
         Event::Other => {}
     }
     Ok(())
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -125,7 +125,7 @@
     /// The rollout status has changed.
     Status(StatusMessage),
     /// A client has reported a response of an endpoint as wrong.
-    AnswerFlagged {
+    ResponseFlagged {
         /// The name of the endpoint.
         endpoint: String,
         /// How long ago the endpoint responded.
@@ -163,7 +163,7 @@
             "stage" => StatusMessage::from_fields(field)
                 .map(Event::Status)
                 .ok_or_else(|| EventError::Status(data.into())),
-            "flag" => parse_flagged_answer(field).ok_or_else(|| EventError::Flag(data.into())),
+            "flag" => parse_flagged_response(field).ok_or_else(|| EventError::Flag(data.into())),
             "tally" => Ok(Event::Other),
             "" if data.is_empty() => Ok(Event::Other),
             _ => Err(EventError::UnknownFormat(kind.into())),
@@ -171,10 +171,10 @@
     }
 }
 
-fn parse_flagged_answer<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
+fn parse_flagged_response<'a>(field: impl Fn(&str) -> Option<&'a str>) -> Option<Event> {
     let age_ms: f64 = field("observedAgoMs")?.parse().ok()?;
     let endpoint = field("pod")?.to_string();
-    age_ms.is_finite().then(|| Event::AnswerFlagged {
+    age_ms.is_finite().then(|| Event::ResponseFlagged {
         endpoint,
         age: age_from_millis(age_ms),
     })
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -42,7 +42,7 @@
     Complete,
     /// Nothing was received for too long, not even a keep-alive.
     #[error("silent")]
-    Silent,
+    KeepAliveTimeout,
     /// The response had started, but had not delivered a complete message when the stream was due
     /// for renewal.
     #[error("nothing delivered")]
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
     /// The longest time without any input, including keep-alives.
-    pub silence: Duration,
+    pub keep_alive: Duration,
     /// The longest time until a response starts.
     pub response_start: Duration,
     /// The longest backoff before the stream is opened again; jitter at most doubles it.
@@ -73,9 +73,9 @@
 
 impl StreamTimeouts {
     /// Timeouts for a server that responds immediately.
-    pub const fn responsive_server(silence: Duration) -> StreamTimeouts {
+    pub const fn responsive_server(keep_alive: Duration) -> StreamTimeouts {
         StreamTimeouts {
-            silence,
+            keep_alive,
             response_start: RESPONSE_TIMEOUT,
             max_backoff: MAX_BACKOFF,
             renewal_interval: Some(RENEWAL_INTERVAL),
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -39,7 +39,7 @@
 /// The result of reading all available bytes.
 struct Received {
     /// How the last read ended.
-    fill: io::Result<FillStatus>,
+    last_read: io::Result<FillStatus>,
     /// Whether at least one byte was received.
     any_bytes: bool,
     /// An error if the response is invalid or its status code is not 200.
@@ -50,14 +50,14 @@
     fn receive(&mut self) -> Received {
         let mut any_bytes = false;
         let mut response = Ok(());
-        let mut fill = Ok(FillStatus::Complete);
-        while matches!(fill, Ok(FillStatus::Complete)) && response.is_ok() {
-            fill = self.connection.read(READ_AHEAD_BYTES);
+        let mut last_read = Ok(FillStatus::Complete);
+        while matches!(last_read, Ok(FillStatus::Complete)) && response.is_ok() {
+            last_read = self.connection.read(READ_AHEAD_BYTES);
             any_bytes |= !self.connection.input.is_empty();
             response = self.response.read(&mut self.connection.input);
         }
         Received {
-            fill,
+            last_read,
             any_bytes,
             response: self.check_status().and(response.map_err(StreamError::Http)),
         }
@@ -147,7 +147,7 @@
             response: http::Response::default(),
             partial_message: String::new(),
         }));
-        let timeout = self.timeouts.silence.min(self.timeouts.response_start);
+        let timeout = self.timeouts.keep_alive.min(self.timeouts.response_start);
         context.deadlines.set(self.owner, context.now + timeout);
     }
 
@@ -164,7 +164,7 @@
     pub fn on_deadline(&mut self, context: &mut IoContext) -> bool {
         match self.state {
             State::Open(_) => {
-                self.close_and_back_off(&StreamError::Silent, context);
+                self.close_and_back_off(&StreamError::KeepAliveTimeout, context);
                 false
             }
             State::Closed => true,
@@ -202,7 +202,7 @@
         };
         if received.any_bytes {
             let timeout = if open.is_between_messages() {
-                self.timeouts.silence
+                self.timeouts.keep_alive
             } else {
                 PARTIAL_MESSAGE_TIMEOUT
             };
@@ -211,7 +211,7 @@
         let is_complete = open.response.is_complete();
         let outcome = result
             .and(flushed.map_err(StreamError::Io))
-            .and_then(|()| check_open(received.fill, is_complete));
+            .and_then(|()| check_open(received.last_read, is_complete));
         if let Err(reason) = outcome {
             self.close_and_back_off(&reason, context);
         }
@@ -242,8 +242,8 @@
 }
 
 /// An error unless the connection is still open and the response continues.
-fn check_open(fill: io::Result<FillStatus>, is_complete: bool) -> Result<(), StreamError> {
-    match fill? {
+fn check_open(last_read: io::Result<FillStatus>, is_complete: bool) -> Result<(), StreamError> {
+    match last_read? {
         FillStatus::EndOfStream => Err(StreamError::Closed),
         _ if is_complete => Err(StreamError::Complete),
         FillStatus::WouldBlock | FillStatus::Complete | FillStatus::PoolExhausted => Ok(()),
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -110,12 +110,12 @@
 /// Whether a reused connection was lost after its request had been written and before any part of
 /// the response: it may have been broken already.
 fn is_stale(connection: &EndpointConnection, cause: &AttemptErrorCause) -> bool {
-    let is_unanswered = connection.exchange().is_some_and(Exchange::is_unanswered);
+    let awaits_response = connection.exchange().is_some_and(Exchange::awaits_response);
     let is_connection_lost = matches!(
         cause,
         AttemptErrorCause::ConnectionBroken(_) | AttemptErrorCause::ConnectionClosed
     );
-    connection.is_reused && is_unanswered && is_connection_lost
+    connection.is_reused && awaits_response && is_connection_lost
 }
 
 impl Exchange {
@@ -135,7 +135,7 @@
                         .complete_request(id.request, &mut self.response);
                 }
                 AttemptOutcome::InvalidRequest => {
-                    context.clients.answer_invalid_request(id.request);
+                    context.clients.reject_invalid_request(id.request);
                 }
                 _ => {}
             }
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -243,7 +243,7 @@
 fn write_and_read(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
     let read = connection.read(READ_AHEAD_BYTES);
-    flushed.is_ok() && matches!(read, Ok(fill) if fill != FillStatus::EndOfStream)
+    flushed.is_ok() && matches!(read, Ok(status) if status != FillStatus::EndOfStream)
 }
 
 fn notify(result: VoteResult, context: &mut EventContext<'_>) {
