--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -2,7 +2,7 @@
 //! length. I/O happens only through the `Read` or `Write` that the caller passes in.
 //!
 //! Reading stops when the pool is exhausted. Writing may exceed the capacity of the pool: a request
-//! that was read must be answered, or its buffers would never be returned. Buffers beyond the
+//! that was read must get a response, or its buffers would never be returned. Buffers beyond the
 //! capacity are counted while they are in use, and freed when they are returned.
 
 use std::cell::RefCell;
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -73,9 +73,10 @@
     stages: ConnectionsByStage,
     requests: PendingRequests,
     routes: Vec<Route>,
-    /// Connections to serve in the next iteration: the next message may already be available.
+    /// Connections that the next iteration handles without a readiness event, and those that became
+    /// ready in this one.
     scheduled: Vec<ClientKey>,
-    /// Connections whose read stopped because no buffer was free.
+    /// Connections whose read stopped because the buffer pool was exhausted.
     waiting_for_buffers: Vec<ClientKey>,
     is_shutting_down: bool,
 }
@@ -120,12 +121,12 @@
             || !self.waiting_for_buffers.is_empty() && !context.client_pool.is_exhausted()
     }
 
-    /// Number of requests that are not finished.
+    /// Number of requests whose client waits for a response or that have an attempt in flight.
     pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Records a readiness event of a connection.
+    /// Records a readiness event of a connection, which is then handled in the current iteration.
     pub fn on_ready(&mut self, key: ClientKey, readiness: Readiness) {
         if let Some(client) = self.connections.get_mut(key) {
             client.connection.on_ready(readiness);
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Takes the connections to serve in this iteration, sorted by key and without duplicates.
+    /// Takes the keys of the connections that this iteration has to handle, sorted and without
+    /// duplicates.
     pub fn take_pending(&mut self) -> Vec<ClientKey> {
         let mut pending = std::mem::take(&mut self.scheduled);
         pending.append(&mut self.waiting_for_buffers);
@@ -142,7 +144,7 @@
         pending
     }
 
-    /// Returns a pending request.
+    /// Returns a pending request, or `None` if it has finished.
     pub fn request(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(id)
     }
@@ -157,15 +159,15 @@
         self.requests.end_attempt(id);
     }
 
-    /// Starts to close connections between requests. New connections are accepted until the accept
-    /// period of the shutdown ends.
+    /// Schedules all connections, so that those between requests are closed. New connections are
+    /// accepted until the accept period of the shutdown ends.
     pub fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
         self.scheduled
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
-    /// Whether nothing is pending for any client: all requests are answered and the responses
+    /// Whether nothing is pending for any client: no client waits for a response, all output is
     /// written, no message is incomplete or unread, and no connection waits to be accepted.
     pub fn is_idle(&self) -> bool {
         let is_pending = |client: &ClientConnection| match client.stage() {
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -14,8 +14,8 @@
 use crate::log_lines;
 use crate::postgres::sqlstate;
 
-/// Maximum number of connections accepted in one event-loop iteration, so that established
-/// connections are served too.
+/// Maximum number of connections accepted in one event-loop iteration, so that a burst of new
+/// connections does not delay the established ones.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
 /// Whether connections wait to be accepted. The listener is registered edge-triggered, so the event
@@ -34,7 +34,7 @@
 }
 
 impl Clients {
-    /// Records that the listener is ready.
+    /// Records that connections may wait to be accepted.
     pub fn on_accept_ready(&mut self) {
         if self.listener_state == ListenerState::Drained {
             self.listener_state = ListenerState::Ready;
@@ -112,7 +112,7 @@
 
     fn first_to_evict(&self, context: &IoContext) -> Option<StageEntry> {
         let latest = context.now - MIN_STAGE_AGE;
-        // A connection with unread bytes is served before it may be closed.
+        // A connection with unread bytes is kept: the bytes may be a complete request.
         let has_sent_nothing = |entry: &StageEntry| {
             self.connections
                 .get(entry.connection)
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -8,11 +8,13 @@
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
-/// Bytes read ahead while a request is pending. Also the limit on unwritten output, at which no
-/// further message of a client that sends without reading is handled.
+/// Size of the input up to which a connection is read ahead, for example while a request is
+/// pending. Also the limit on unwritten output: at this size no further message is handled, because
+/// the client sends requests without reading the responses.
 const READ_AHEAD_BYTES: usize = BUFFER_BYTES;
-/// Bytes read ahead while more than half of the buffers are free. A request's time limit counts
-/// from when it is read, so that reading early measures its arrival more precisely.
+/// Size of the input up to which a connection is read ahead while more than half of the buffers are
+/// free. A request's time limit counts from when it is read, so that reading early measures its
+/// arrival more precisely.
 const EXTENDED_READ_AHEAD_BYTES: usize = 16 * BUFFER_BYTES;
 /// Bytes discarded after an error without waiting for another readiness event. Closing a socket
 /// with unread input resets the connection, and the client could not read the error.
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a connection: its stage after it was served, its timeout, and closing it.
+//! The lifecycle of a connection: updating its stage after each read, its timeout, and closing it.
 
 use slog::debug;
 use tidescale_policy::Balancer;
@@ -22,7 +22,7 @@
         if client.connection.flush().is_err() {
             return self.close(key, context);
         }
-        // With unread input, the connection is served again: the input may be a request.
+        // With unread input, the connection stays open: the input may be a request.
         let is_done = self.is_shutting_down && client.is_done_at_shutdown();
         if is_done && client.connection.read_would_block() {
             return self.close(key, context);
@@ -31,7 +31,7 @@
         if stage == Stage::Closing && client.connection.output.is_empty() {
             client.connection.shutdown_write();
         }
-        // A connection in `waiting_for_buffers` is served again once buffers are free.
+        // A connection in `waiting_for_buffers` is read again once buffers are free.
         let waits_for_buffers =
             || stage != Stage::Closing && self.waiting_for_buffers.contains(&key);
         if has_input_to_handle(client, stage) && !waits_for_buffers() {
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Handles a message that is neither a query nor skipped.
+    /// Responds to a message that is not a query, or ignores it, and updates the state.
     fn handle_non_query(&mut self, kind: ClientMessage) {
         match kind {
             ClientMessage::Terminate => self.state = ClientState::Closing { discarded: 0 },
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -10,10 +10,11 @@
 use crate::ids::{ClientKey, EndpointConnectionKey};
 use crate::slots::Slots;
 
-/// A request from its arrival until its last attempt has ended and its client was answered or has
-/// disconnected.
+/// A request from its arrival until its last attempt has ended and its client has been sent a
+/// response or has disconnected.
 pub struct PendingRequest {
-    /// The client that waits for the response; `None` once it was answered or has disconnected.
+    /// The client that waits for the response; `None` once it was sent or the client has
+    /// disconnected.
     pub(super) client: Option<ClientKey>,
     /// The request id in the client's statement.
     pub(super) client_request_id: String,
@@ -47,7 +48,7 @@
 
 impl PendingRequests {
     /// Creates an empty table. It needs no limit of its own: each client connection has at most one
-    /// unanswered request.
+    /// request that waits for a response.
     pub(super) fn new() -> PendingRequests {
         PendingRequests {
             requests: Slots::new(usize::MAX),
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -13,8 +13,8 @@
 use crate::log_lines;
 use crate::postgres::{self, ProtocolError, sqlstate};
 
-/// Maximum number of reads from one connection in one event-loop iteration, so that other
-/// connections are served too.
+/// Maximum number of reads from one connection in one event-loop iteration, so that one client that
+/// sends without pause does not delay the others.
 const MAX_READS_PER_ITERATION: usize = 4;
 
 impl Clients {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Closes the connection that has held buffers for an incomplete message for longest, except
-    /// `waiting`.
+    /// Closes the connection that has held buffers for an incomplete message for longest, to make
+    /// buffers available to `waiting`, which is not closed.
     fn free_buffers(&mut self, waiting: ClientKey, context: &mut EventContext<'_>) {
         let latest = context.io.now - MIN_STAGE_AGE;
         let longest = self
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Handles messages in order, up to a request that has to be answered before the next message.
+    /// Handles messages in order, up to a request. Later messages are handled after its response.
     fn handle_messages(
         &mut self,
         key: ClientKey,
--- a/crates/proxy/src/clients/responses.rs
+++ b/crates/proxy/src/clients/responses.rs
@@ -9,7 +9,8 @@
 use crate::buffers::Chain;
 use crate::postgres::{self, Severity, sqlstate};
 
-/// The unit of the retry delay that is sent to clients; a shorter delay is not sent.
+/// The unit, one millisecond, of the retry delay that is sent to clients; a shorter delay is not
+/// sent.
 const RETRY_AFTER_UNIT: Duration = Duration::from_millis(1);
 
 impl Clients {
@@ -57,7 +58,7 @@
             client.state = ClientState::Idle;
             write(&mut client.connection.output);
             postgres::put_ready_for_query(&mut client.connection.output);
-            // A write error is handled when the connection is served in the next iteration.
+            // The next iteration flushes again and handles a write error.
             let _ = client.connection.flush();
             self.scheduled.push(key);
         }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -17,7 +17,7 @@
 /// The Linux error code for a non-blocking connect that is in progress. The standard library has an
 /// `ErrorKind` for it only on newer toolchains.
 const EINPROGRESS: i32 = 115;
-/// Maximum number of bytes read by one system call when input is discarded.
+/// Size of the buffer into which discarded input is read, and so the maximum per system call.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The result of discarding input.
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -43,7 +43,8 @@
 pub enum ListSource {
     /// An agent on the host of this instance, which pushes changes.
     LocalAgent,
-    /// One service for all instances, which has to be polled.
+    /// One service for all instances, which queues their requests. It sends the list over a stream,
+    /// too, but its stream is not renewed at intervals, because each request is expensive.
     SharedService,
 }
 
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream::{EndpointListing, ProcessIdentity};
 
-/// The longest accepted list.
+/// Maximum length of a list, over all its lines.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a list was rejected.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -81,7 +81,7 @@
 impl ProxyInstance {
     /// Starts an instance and runs its first iteration. The configuration is read again from
     /// `config_path` on SIGHUP. `listen` is called after signals have been set up, so that clients
-    /// that connect from then on are answered even if SIGTERM arrives.
+    /// that connect from then on get a response even if SIGTERM arrives.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
         Ok(instance)
     }
 
-    /// Restores the state from the snapshot of an earlier process, as far as it is still valid, and
+    /// Restores the records that are still valid from the snapshot of an earlier process, and
     /// starts to write snapshots. Does nothing if the operators' file names no snapshot folder.
     pub fn enable_snapshots(&mut self, operators: &OperatorSettings) {
         let Some(settings) = &operators.snapshot else {
@@ -275,7 +275,7 @@
     Ok(())
 }
 
-/// Serves clients until SIGTERM, then drains and returns.
+/// Runs the proxy until SIGTERM, then completes the pending requests and returns.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -3,13 +3,13 @@
 
 use crate::buffers::Chain;
 
-/// The longest accepted status line with headers.
+/// Maximum length of the status line with all headers.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most headers that a response may have.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 32;
-/// The longest accepted chunk-size line.
+/// Maximum length of a chunk-size line.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
-/// The most of a body that is buffered; also the longest accepted Content-Length.
+/// Maximum length of the buffered part of a body; also the maximum Content-Length.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const CRLF: &[u8] = b"\r\n";
 
--- a/crates/proxy/src/load_report.rs
+++ b/crates/proxy/src/load_report.rs
@@ -2,7 +2,8 @@
 
 use tidescale_policy::types::LoadReport;
 
-/// Larger counts are invalid: no endpoint can have that many requests.
+/// Maximum number of requests in a load report. Larger counts are invalid: no endpoint can have
+/// that many requests.
 const MAX_REQUEST_COUNT: f64 = 1e6;
 
 /// Parses a load report: comma-separated `name=value` pairs, of which unknown names are ignored.
--- a/crates/proxy/src/log_lines.rs
+++ b/crates/proxy/src/log_lines.rs
@@ -15,7 +15,7 @@
 use crate::context::Component;
 use crate::postgres::ErrorResponse;
 
-/// Maximum number of characters of an endpoint's error message in the log.
+/// Length to which the error message of an endpoint is truncated in the log.
 const MAX_MESSAGE_CHARS: usize = 200;
 
 /// The proxy has started and accepts clients.
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -11,7 +11,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
-/// Length of the windows in which the lines of a call site are counted.
+/// Duration of the windows in which the lines of a call site are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Maximum number of lines that a call site may write in one window.
 const MAX_LINES_PER_WINDOW: u32 = 5;
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -69,7 +69,7 @@
         deserialize_with = "duration_with_unit"
     )]
     pub write_interval: Duration,
-    /// Time limit for writing the final snapshot after SIGTERM, once all requests are answered.
+    /// Time limit for writing the final snapshot after SIGTERM, once all responses have been sent.
     #[serde(
         rename = "stop_within",
         default = "default_final_write_timeout",
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -6,23 +6,23 @@
 use super::ProtocolError;
 use crate::buffers::Chain;
 
-/// The code of protocol version 3.0 in a startup message.
+/// Protocol version 3.0 as encoded in a startup message: the major version in the upper 16 bits.
 pub const PROTOCOL_VERSION: u32 = 196_608;
 /// The codes that replace the protocol version in other requests at the start of a connection.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
 
-/// Size of the header of a startup message: the length and the protocol version.
+/// Size of the header of a startup message in bytes: the length and the protocol version.
 pub const STARTUP_HEADER_BYTES: usize = 8;
-/// Size of the header of any other message: the type and the length.
+/// Size of the header of any other message in bytes: the type and the length.
 pub const MESSAGE_HEADER_BYTES: usize = 5;
-/// Size of the length field, which is included in the length of a message.
+/// Size of the length field in bytes, which is included in the length of a message.
 const LENGTH_FIELD_BYTES: usize = 4;
 
-/// Maximum length of a startup message, as in PostgreSQL.
+/// Maximum length of a startup message, including its header; the same as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Maximum length of a value that clients write, in bytes.
+/// Maximum length of a value that clients write, in bytes before hexadecimal encoding.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Maximum length of the part of a statement that is not the value.
 const MAX_STATEMENT_OVERHEAD_BYTES: usize = 4096;
@@ -37,7 +37,7 @@
 pub trait MessageKind: Copy {
     /// The kind with a type byte; `None` if this side may not send such a message.
     fn from_type_byte(byte: u8) -> Option<Self>;
-    /// Maximum length of the body, in bytes.
+    /// Maximum length of the body in bytes, without the type byte and the length field.
     fn max_body_bytes(self) -> usize;
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -198,8 +198,8 @@
         self.votes.notify_failed_vote(policy);
     }
 
-    /// Records which sockets became ready. Returns the endpoint and vote connections to serve;
-    /// ready clients are recorded as pending instead.
+    /// Records which sockets became ready. Returns the owners of the endpoint and vote connections
+    /// among them; ready clients are recorded in [`Clients`] instead.
     fn record_readiness(&mut self, events: &mut ReadyEvents) -> Vec<Owner> {
         let mut ready: Vec<Owner> = Vec::new();
         for (owner, readiness) in events.sockets.drain(..) {
@@ -213,8 +213,8 @@
 
     fn serve_control_and_endpoints(&mut self, ready: Vec<Owner>, policy: &mut Balancer) {
         let mut owners = ready;
-        // Control streams are served in each iteration, because the previous one may have left
-        // bytes unread when their buffer pool was exhausted.
+        // Control streams are read in each iteration, because the previous one may have left bytes
+        // unread when their buffer pool was exhausted.
         owners.push(Owner::only(Component::EndpointList));
         owners.push(Owner::only(Component::RolloutStatus));
         owners.extend(
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -32,7 +32,8 @@
 }
 
 impl ConnectionBudget {
-    /// Splits a limit on file descriptors. Returns `None` if it is too small to serve requests.
+    /// Splits a limit on file descriptors. Returns `None` if it leaves no descriptors for clients
+    /// or endpoints.
     pub fn split(descriptor_limit: usize) -> Option<ConnectionBudget> {
         let available = descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS);
         if available < ENDPOINT_DESCRIPTOR_DIVISOR {
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -17,7 +17,8 @@
 
 /// The path of the platform's event stream.
 const EVENTS_PATH: &str = "/bulletin";
-/// Five times the interval of the platform's keep-alive lines, which is 1 s.
+/// A stream on which no line arrives for this long is reopened. This is five times the interval of
+/// the platform's keep-alive lines, which is 1 s.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(5000);
 
 /// The platform's event stream.
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -9,7 +9,7 @@
 use tidescale_policy::Balancer;
 use tidescale_policy::types::{BuildNumber, RolloutPhase, RolloutStatus, StageIndex};
 
-/// The longest accepted event.
+/// Maximum length of an event.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// Why an event was rejected.
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The state machine of the shutdown after SIGTERM: running, draining, finished. No I/O.
 //!
-//! While draining, the proxy accepts clients for a limited period and answers all requests. It
+//! While draining, the proxy accepts clients for a limited period and completes all requests. It
 //! exits once nothing is pending, or at the shutdown deadline. It never returns to an earlier
 //! state.
 
@@ -8,7 +8,7 @@
 
 use tidescale_policy::types::Timestamp;
 
-/// Time after SIGTERM in which clients may still connect and have their requests answered.
+/// Time after SIGTERM in which clients may still connect and send requests.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// Upper bound on the longest time limit of a request in the calculation of when SIGKILL arrives,
 /// which is after the accept period and that time limit.
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -11,10 +11,10 @@
 use tidescale_snapshot::records::Record;
 use tidescale_snapshot::store::{SaveError, Store};
 
-/// Capacity of the queue of snapshots for the thread. One is enough, because each snapshot is
+/// Maximum number of snapshots queued for the thread. One is enough, because each snapshot is
 /// complete.
 const MAX_QUEUED_SNAPSHOTS: usize = 1;
-/// Capacity of the queue of results for the event loop: one for the snapshot being written and one
+/// Maximum number of results queued for the event loop: one for the snapshot being written and one
 /// for the queued one, so that the thread never waits for the event loop.
 const MAX_QUEUED_RESULTS: usize = 2;
 
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Discards the records collected so far, and collects all records at once.
+    /// Discards the records collected so far, and collects all records without a pause between
+    /// slices.
     pub(super) fn collect_all(
         &mut self,
         listed_processes: &ListedProcesses<'_>,
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -12,7 +12,8 @@
 use crate::logging;
 use crate::operators::{self, OperatorSettings, OperatorSettingsError};
 
-/// Maximum number of connections that wait to be accepted.
+/// Backlog of the listening socket: maximum number of established connections that the system
+/// queues until the proxy accepts them.
 const MAX_PENDING_CONNECTIONS: i32 = 1024;
 
 /// Why the proxy did not start, or stopped with an error.
@@ -42,8 +43,8 @@
     EventLoop(#[from] EventLoopError),
 }
 
-/// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`.
-/// Without an operators' file, the features that it configures are disabled.
+/// Runs the proxy until SIGTERM. `config_path` is the value of the environment variable
+/// `PROXY_CONFIG`. Without an operators' file, the features that it configures are disabled.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -40,7 +40,7 @@
     /// The response ended, although the connection is still open.
     #[error("complete")]
     Complete,
-    /// Nothing was received for too long, not even a keep-alive.
+    /// The keep-alive timeout expired: nothing was received, not even a keep-alive.
     #[error("silent")]
     KeepAliveTimeout,
     /// The response had started, but had not delivered a complete message when the stream was due
@@ -53,14 +53,15 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
-/// A stream may send keep-alives without delivering changes; a new stream delivers those that were
-/// missed.
+/// Interval at which a working stream is replaced by a new one. A stream may send keep-alives
+/// without delivering changes; a new stream delivers those that were missed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(3000);
 
 /// The time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// The longest time without any input, including keep-alives.
+    /// Keep-alive timeout: the longest time between two messages in which nothing is received, not
+    /// even a keep-alive.
     pub keep_alive: Duration,
     /// The longest time until a response starts.
     pub response_start: Duration,
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -110,7 +110,7 @@
             return true;
         }
         // The stream has delivered nothing for a whole interval, not even a keep-alive. Waiting for
-        // the silence timeout would take longer than the time within which this instance has to
+        // the keep-alive timeout would take longer than the time within which this instance has to
         // know of the changes that it is missing.
         if self.current.is_responding() {
             self.current
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -16,9 +16,9 @@
 use crate::log_lines;
 
 /// Time limit for more input within a message. A server that stalls there may still send
-/// keep-alives, so that the silence timeout would not expire.
+/// keep-alives, so that the keep-alive timeout would not expire.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The most bytes to read before they are decoded.
+/// Size of the input up to which the connection is read before the input is decoded.
 const READ_AHEAD_BYTES: usize = 256 * 1024;
 
 /// The connection of an open stream and the response received over it.
@@ -42,7 +42,7 @@
     last_read: io::Result<FillStatus>,
     /// Whether at least one byte was received.
     any_bytes: bool,
-    /// An error if the response is invalid or its status code is not 200.
+    /// The result of decoding: an error if the response is invalid or its status code is not 200.
     response: Result<(), StreamError>,
 }
 
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether the request was written completely and no part of the response was received.
+    /// Whether the request has been written completely and no part of the response was received.
     pub(super) fn awaits_response(&self) -> bool {
         self.progress == RequestProgress::Written
             && self.next_part == EndpointMessage::RowDescription
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Whether endpoints are known to use this SQLSTATE.
+/// Whether this SQLSTATE is one of those that endpoints are expected to send.
 pub(super) fn is_known_sqlstate(code: &str) -> bool {
     matches!(
         code,
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -17,7 +17,8 @@
 use crate::postgres::framing::MAX_DATA_ROW_BODY_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame, complete_frame};
 
-/// The most bytes to read before they are handled: the longest message and some more.
+/// Size of the input up to which a connection is read before the input is handled: the longest
+/// message and some more.
 const READ_AHEAD_BYTES: usize = MAX_DATA_ROW_BODY_BYTES + 4096;
 /// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -25,7 +25,7 @@
 const OWNER: Owner = Owner::only(Component::Votes);
 /// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// The most bytes to read before they are handled.
+/// Size of the input up to which the connection is read before the input is handled.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// A vote that waits for its response, and its connection.
--- a/crates/proxy/tests/loopback/client_limits.rs
+++ b/crates/proxy/tests/loopback/client_limits.rs
@@ -29,8 +29,8 @@
     }
 
     assert!(idle.iter_mut().all(Client::is_closed));
-    // The first six clients are served, as far as there are endpoint connections. The others are
-    // admitted once these clients are idle.
+    // The first six clients get responses, or errors if no endpoint connection is free. The others
+    // get a session once these clients are idle.
     let mut rows = 0;
     for client in &mut busy {
         assert_eq!(client.response(), Response::SessionOpened);
@@ -63,7 +63,8 @@
     gated.assert_closed_after_idle_time([owner, other]);
 }
 
-/// An endpoint that answers each query only after the test has called [`GatedEndpoint::release`].
+/// An endpoint that responds to each query only after the test has called
+/// [`GatedEndpoint::release`].
 struct GatedEndpoint {
     endpoint: TestEndpoint,
     release: mpsc::Sender<()>,
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Lets the endpoint answer one query.
+    /// Lets the endpoint respond to one query.
     fn release(&self) {
         self.release.send(()).unwrap();
     }
 
     /// Checks that each client is closed at least two seconds after its response. The clients are
-    /// in the order of their responses. The idle time is measured from when the endpoint answered,
+    /// in the order of their responses. The idle time is measured from when the endpoint responded,
     /// as the client's response cannot be earlier.
     fn assert_closed_after_idle_time(&self, clients: [Client; 2]) {
         let closings = clients.map(|mut client| {
@@ -186,8 +187,8 @@
     let proxy = start_proxy(&config);
     let mut client = Client::with_open_session(proxy.address);
 
-    // Both requests are sent in one write. The first is answered only after the deadline of the
-    // second.
+    // Both requests are sent in one write. The response to the first is sent only after the
+    // deadline of the second.
     client.send(&[query("look", 1, 1200), query("look", 2, 300)].concat());
     let mut endpoint = server.accept_session();
     assert!(endpoint.query().is_some_and(|query| query.contains("id=1")));
--- a/crates/proxy/tests/loopback/clients.rs
+++ b/crates/proxy/tests/loopback/clients.rs
@@ -234,7 +234,7 @@
     assert!(matches!(client.response(), Response::FatalError(_)));
 }
 
-/// Checks that 400 requests in one write are answered in order. They are more than the proxy reads
+/// Checks that 400 requests in one write get responses in order. They are more than the proxy reads
 /// at a time, and their responses are more than it may buffer.
 fn assert_pipelined_requests_get_responses_in_order(address: SocketAddr) {
     let is_valid = |index: u32| index.is_multiple_of(20);
--- a/crates/proxy/tests/loopback/common/endpoint.rs
+++ b/crates/proxy/tests/loopback/common/endpoint.rs
@@ -147,7 +147,7 @@
         let index = events.add(EndpointEvent::Query(terminated_text(&body)));
         let response = match script(index) {
             EndpointAction::Close => {
-                // Takes effect at once, unlike a drop while a child process that another test is
+                // Closes immediately, unlike a drop while a child process that another test is
                 // spawning holds a copy of the socket.
                 stream.shutdown(Shutdown::Both).ok()?;
                 return None;
--- a/crates/proxy/tests/loopback/common/manual.rs
+++ b/crates/proxy/tests/loopback/common/manual.rs
@@ -13,7 +13,7 @@
     next_message, read_startup, read_until_length, ready_for_query, row, session_accepted,
 };
 
-/// A server whose connections are accepted and answered by calls of the test.
+/// A server that accepts a connection and sends a response only when the test calls for it.
 pub struct ManualServer(TcpListener);
 
 impl ManualServer {
--- a/crates/proxy/tests/loopback/connecting.rs
+++ b/crates/proxy/tests/loopback/connecting.rs
@@ -51,7 +51,7 @@
 }
 
 /// Updates the endpoint's list entry while an attempt connects to it, adds another endpoint, and
-/// checks that the request is answered without a query over the pending connection.
+/// checks that the client gets a response without a query over the pending connection.
 fn assert_attempt_goes_to_another_endpoint(update: EndpointUpdate) {
     let servers = ManualServers::new();
     let [other, relocated] =
@@ -105,7 +105,7 @@
         let mut connecting = servers.endpoint.accept_startup();
 
         leaving.disconnect();
-        // The proxy itself answers this, after it has observed that the other client has
+        // The proxy itself responds to this, after it has observed that the other client has
         // disconnected.
         assert_eq!(staying.request(&statement("")), Response::EmptyStatement);
         connecting.open_session();
@@ -216,7 +216,7 @@
     let servers = ManualServers::new();
     let proxy = start_proxy(&servers.long_timeout_config());
     let mut client = Client::with_open_session(proxy.address);
-    // The second request waits behind the first, and is read as soon as the first is answered.
+    // The second request waits behind the first, and is read after the response to the first.
     client.send(&[query("look", 1, 8000), query("look", 2, 8000)].concat());
     let mut first = servers.endpoint.accept_session();
     assert!(first.query().is_some());
--- a/crates/proxy/tests/loopback/discovery.rs
+++ b/crates/proxy/tests/loopback/discovery.rs
@@ -182,8 +182,8 @@
     later.send_chunk(&list_change(46, "leaving"));
     fixture.run_until(46, EndpointState::Draining);
 
-    // After seven seconds of silence the stream is reopened. A complete list with a lower version
-    // then means that discovery has restarted its version numbers; a change does not.
+    // After seven seconds without a line the stream is reopened. A complete list with a lower
+    // version then means that discovery has restarted its version numbers; a change does not.
     fixture.advance(Duration::from_secs(7));
     let mut later = fixture.reconnect(&second);
     later.start_stream();
@@ -258,8 +258,8 @@
         "the stream was reopened in spite of keep-alives"
     );
 
-    // The stream is reopened after a silence that is longer than between two keep-alives, and
-    // before the six seconds that silence is allowed have passed.
+    // The stream is reopened later than the interval between two keep-alives, and before the six
+    // seconds have passed after which the instance has to act on the latest list.
     let last_line_at = fixture.context.now;
     fixture.reconnect(&server);
     let idle_time = fixture.context.now - last_line_at;
@@ -281,7 +281,7 @@
         ignored.extend(server.try_accept());
     }
 
-    // The earlier connections stay silent. A new one is answered.
+    // The earlier connections never deliver anything. A new one gets a response.
     let mut recovered = fixture.reconnect(&server);
     let delay = fixture.context.now - recovered_at;
     recovered.start_stream();
--- a/crates/proxy/tests/loopback/endpoint_list.rs
+++ b/crates/proxy/tests/loopback/endpoint_list.rs
@@ -115,7 +115,7 @@
         stream.send(broken_list.as_bytes());
         let _reopened = servers.discovery.accept();
 
-        // Much earlier than a silent stream would be reopened.
+        // Much earlier than the keep-alive timeout would reopen the stream.
         let delay = sent_at.elapsed();
         assert!(delay < Duration::from_millis(1500), "{broken_list}");
     }
--- a/crates/proxy/tests/loopback/reload.rs
+++ b/crates/proxy/tests/loopback/reload.rs
@@ -76,7 +76,7 @@
     assert!(later.discovery.requests()[0].starts_with("GET /discovery/hosts?follow=1&since=41 "));
     assert!(later.platform.requests()[0].starts_with("GET /bulletin "));
 
-    // Both signals at once: the proxy still exits successfully.
+    // SIGHUP and SIGTERM in quick succession: the proxy still exits successfully.
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     assert!(proxy.child.wait().unwrap().success());
--- a/crates/proxy/tests/loopback/stream.rs
+++ b/crates/proxy/tests/loopback/stream.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// A stream that is reopened after this long a silence. The seed determines its random backoffs.
+/// A stream that is reopened if it receives nothing for the keep-alive timeout. The seed determines
+/// its random backoffs.
 fn reconnecting_stream(
     address: SocketAddr,
     keep_alive_timeout: Duration,
@@ -192,7 +193,7 @@
     assert_eq!(owners, expected);
 }
 
-/// The times at which a stream with this seed reconnects after each of ten silences.
+/// The times at which a stream with this seed reconnects after each of ten keep-alive timeouts.
 fn reconnect_times(seed: u64) -> Vec<Timestamp> {
     let server = ManualServer::new();
     let mut fixture = StreamFixture::new();
@@ -200,7 +201,7 @@
     let mut times = Vec::new();
     for _ in 0..10 {
         stream.open(PATH, &mut fixture.context);
-        // Nothing is received: the stream ends at the silence timeout, then its backoff passes.
+        // Nothing is received: the stream ends at the keep-alive timeout, then its backoff passes.
         fixture.pass_next_deadline();
         assert!(!stream.on_deadline(&mut fixture.context));
         fixture.pass_next_deadline();
--- a/crates/proxy/tests/loopback/upstream.rs
+++ b/crates/proxy/tests/loopback/upstream.rs
@@ -7,7 +7,7 @@
 
 use crate::common::*;
 
-/// What the only endpoint does with its first query; it answers all later ones.
+/// What the only endpoint does with its first query; it responds to all later ones.
 type FirstAction = fn() -> EndpointAction;
 
 /// The response that the client receives.
@@ -168,7 +168,7 @@
     let mut client = Client::with_open_session(proxy.address);
 
     // The proxy learns from a closed connection that this endpoint closes reused ones. The client
-    // is answered by a retry.
+    // gets the response to a retry.
     let started_at = Instant::now();
     for id in 0.. {
         let response = client.request(&query("look", id, 8000));
--- a/crates/proxy/tests/tables/buffers.rs
+++ b/crates/proxy/tests/tables/buffers.rs
@@ -6,7 +6,7 @@
 
 /// Number of buffers in the pool of a test.
 const POOL_CAPACITY: usize = 4;
-/// A length in bytes beyond the capacity of the pool, which no fill can reach.
+/// A length in bytes beyond the capacity of the pool, which [`Chain::fill`] can never reach.
 const UNREACHABLE_BYTES: usize = 1 << 20;
 
 /// A reader that returns at most `max_read` bytes per call, and `WouldBlock` after the last byte.
