--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -198,12 +198,12 @@
         self.skip(count);
     }
 
-    /// Reads until the chain holds at least `wanted` bytes.
+    /// Reads until the chain holds at least `wanted_bytes`.
     ///
     /// # Errors
     /// Any error of `from` except `Interrupted` and `WouldBlock`.
-    pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<FillStatus> {
-        while self.len < wanted {
+    pub fn fill(&mut self, from: &mut impl Read, wanted_bytes: usize) -> io::Result<FillStatus> {
+        while self.len < wanted_bytes {
             if self.is_last_buffer_full() {
                 if self.pool.is_exhausted() {
                     return Ok(FillStatus::PoolExhausted);
--- a/crates/proxy/src/clients/arrivals.rs
+++ b/crates/proxy/src/clients/arrivals.rs
@@ -12,7 +12,7 @@
 /// The number of bytes received up to a point in time.
 struct Arrival {
     /// Total since the start of the connection.
-    received: u64,
+    received_bytes: u64,
     at: Timestamp,
 }
 
@@ -23,8 +23,8 @@
 #[derive(Default)]
 pub struct Arrivals {
     arrivals: VecDeque<Arrival>,
-    received: u64,
-    consumed: u64,
+    received_bytes: u64,
+    consumed_bytes: u64,
 }
 
 impl Arrivals {
@@ -33,12 +33,12 @@
         if count == 0 {
             return;
         }
-        self.received += count as u64;
+        self.received_bytes += count as u64;
         let is_full = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut() {
-            Some(last) if is_full || last.at == now => last.received = self.received,
+            Some(last) if is_full || last.at == now => last.received_bytes = self.received_bytes,
             _ => self.arrivals.push_back(Arrival {
-                received: self.received,
+                received_bytes: self.received_bytes,
                 at: now,
             }),
         }
@@ -47,11 +47,11 @@
     /// Consumes the next `count` bytes. Returns when the last of them was received, or `now` if
     /// that was not recorded.
     pub fn consume(&mut self, count: usize, now: Timestamp) -> Timestamp {
-        self.consumed += count as u64;
+        self.consumed_bytes += count as u64;
         while self
             .arrivals
             .front()
-            .is_some_and(|arrival| arrival.received < self.consumed)
+            .is_some_and(|arrival| arrival.received_bytes < self.consumed_bytes)
         {
             self.arrivals.pop_front();
         }
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -47,7 +47,7 @@
     /// Closes once the output is written and the client has finished sending. Input is discarded.
     Closing {
         /// Bytes discarded so far.
-        discarded: usize,
+        discarded_bytes: usize,
     },
 }
 
@@ -154,7 +154,7 @@
         let Connection { input, output, .. } = &mut self.connection;
         postgres::put_error(output, Severity::Fatal, code, reason, "");
         input.skip(input.len());
-        self.state = ClientState::Closing { discarded: 0 };
+        self.state = ClientState::Closing { discarded_bytes: 0 };
     }
 
     /// Discards the input of a closing connection. Returns whether the client has finished sending,
@@ -163,23 +163,23 @@
         if !self.connection.output.is_empty() {
             return false;
         }
-        let ClientState::Closing { discarded } = &mut self.state else {
+        let ClientState::Closing { discarded_bytes } = &mut self.state else {
             return false;
         };
         // Beyond the total limit, each readiness event discards one more part.
-        let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded) {
+        let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded_bytes) {
             Some(remaining) => remaining.min(DISCARDED_BYTES_PER_ITERATION),
             None => DISCARDED_BYTES_PER_ITERATION,
         };
         let result = self.connection.discard(limit);
-        *discarded += result.bytes;
+        *discarded_bytes += result.bytes;
         result.ended
     }
 
     /// Whether there is more to discard without waiting for a readiness event.
     pub(super) fn has_more_to_discard(&self) -> bool {
         let is_within_limit = match self.state {
-            ClientState::Closing { discarded } => discarded < MAX_DISCARDED_BYTES,
+            ClientState::Closing { discarded_bytes } => discarded_bytes < MAX_DISCARDED_BYTES,
             _ => false,
         };
         is_within_limit && self.connection.may_be_readable()
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -38,7 +38,9 @@
             self.scheduled.push(key);
         }
         self.set_stage(key, stage, context.io);
-        while self.stages.idle_count() > self.max_idle && self.close_longest_idle(context) {}
+        while self.stages.idle_count() > self.max_idle_connections
+            && self.close_longest_idle(context)
+        {}
     }
 
     /// Records the stage of a connection, and restarts its timeout if the stage has changed.
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -65,7 +65,7 @@
     /// Responds to a message that is not a query, or ignores it, and updates the state.
     fn handle_non_query(&mut self, kind: ClientMessage) {
         match kind {
-            ClientMessage::Terminate => self.state = ClientState::Closing { discarded: 0 },
+            ClientMessage::Terminate => self.state = ClientState::Closing { discarded_bytes: 0 },
             ClientMessage::Sync => {
                 self.state = ClientState::Idle;
                 postgres::put_ready_for_query(&mut self.connection.output);
@@ -108,7 +108,7 @@
             }
             // Declines encryption; the client may continue without it.
             StartupKind::Encryption => self.connection.output.push(b"N"),
-            StartupKind::Cancel => self.state = ClientState::Closing { discarded: 0 },
+            StartupKind::Cancel => self.state = ClientState::Closing { discarded_bytes: 0 },
         }
         Ok(MessageResult::Handled)
     }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -98,15 +98,15 @@
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Reads until the input holds at least `wanted` bytes.
+    /// Reads until the input holds at least `wanted_bytes`.
     ///
     /// # Errors
     /// The connection failed.
-    pub fn read(&mut self, wanted: usize) -> io::Result<FillStatus> {
+    pub fn read(&mut self, wanted_bytes: usize) -> io::Result<FillStatus> {
         if !self.readable {
             return Ok(FillStatus::WouldBlock);
         }
-        let status = self.input.fill(&mut &*self.socket, wanted)?;
+        let status = self.input.fill(&mut &*self.socket, wanted_bytes)?;
         self.readable = matches!(status, FillStatus::Complete | FillStatus::PoolExhausted);
         Ok(status)
     }
@@ -122,12 +122,12 @@
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Discards the input, then reads and discards about `limit` more bytes.
-    pub fn discard(&mut self, limit: usize) -> Discarded {
+    /// Discards the input, then reads and discards about `max_bytes` more.
+    pub fn discard(&mut self, max_bytes: usize) -> Discarded {
         self.input.skip(self.input.len());
         let mut scratch = [0; DISCARD_BUFFER_BYTES];
         let mut bytes = 0;
-        while self.readable && bytes < limit {
+        while self.readable && bytes < max_bytes {
             match (&*self.socket).read(&mut scratch) {
                 Ok(0) => return Discarded { bytes, ended: true },
                 Ok(count) => bytes += count,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -61,13 +61,13 @@
     Head,
     /// A body of known length.
     Body {
-        remaining: usize,
+        remaining_bytes: usize,
     },
     /// A body that ends when the connection closes.
     BodyUntilClose,
     ChunkSize,
     Chunk {
-        remaining: usize,
+        remaining_bytes: usize,
     },
     ChunkEnd,
     Trailer,
@@ -129,10 +129,10 @@
     fn advance(&mut self, input: &mut Chain) -> Result<Progress, HttpError> {
         match self.state {
             State::Head => self.read_head(input),
-            State::Body { remaining } => match self.read_body(input, remaining)? {
+            State::Body { remaining_bytes } => match self.read_body(input, remaining_bytes)? {
                 0 => Ok(self.enter(State::Complete)),
-                remaining => {
-                    self.state = State::Body { remaining };
+                remaining_bytes => {
+                    self.state = State::Body { remaining_bytes };
                     Ok(Progress::NeedsInput)
                 }
             },
@@ -141,10 +141,10 @@
                 Ok(Progress::NeedsInput)
             }
             State::ChunkSize => self.read_chunk_size(input),
-            State::Chunk { remaining } => match self.read_body(input, remaining)? {
+            State::Chunk { remaining_bytes } => match self.read_body(input, remaining_bytes)? {
                 0 => Ok(self.enter(State::ChunkEnd)),
-                remaining => {
-                    self.state = State::Chunk { remaining };
+                remaining_bytes => {
+                    self.state = State::Chunk { remaining_bytes };
                     Ok(Progress::NeedsInput)
                 }
             },
@@ -159,15 +159,15 @@
         Progress::Advanced
     }
 
-    /// Moves up to `wanted` bytes to the body. Returns how many are still missing.
-    fn read_body(&mut self, input: &mut Chain, wanted: usize) -> Result<usize, HttpError> {
-        let available = wanted.min(input.len());
+    /// Moves up to `wanted_bytes` to the body. Returns how many are still missing.
+    fn read_body(&mut self, input: &mut Chain, wanted_bytes: usize) -> Result<usize, HttpError> {
+        let available = wanted_bytes.min(input.len());
         if self.body.len() + available > MAX_BODY_BYTES {
             return Err(HttpError::BodyTooLong);
         }
         input.copy_to(0..available, &mut self.body);
         input.skip(available);
-        Ok(wanted - available)
+        Ok(wanted_bytes - available)
     }
 
     fn read_head(&mut self, input: &mut Chain) -> Result<Progress, HttpError> {
@@ -199,8 +199,8 @@
             }
             Ok(httparse::Status::Complete((line_length, size))) => {
                 input.skip(line_length);
-                let remaining = size as usize;
-                Ok(self.enter(State::Chunk { remaining }))
+                let remaining_bytes = size as usize;
+                Ok(self.enter(State::Chunk { remaining_bytes }))
             }
             Ok(httparse::Status::Partial) if line.len() < MAX_CHUNK_SIZE_LINE_BYTES => {
                 Ok(Progress::NeedsInput)
@@ -265,13 +265,13 @@
         return Ok(State::ChunkSize);
     }
     if let Some(length) = header_value(head, "content-length") {
-        let remaining: usize = length
+        let remaining_bytes: usize = length
             .parse()
             .map_err(|_| HttpError::InvalidContentLength)?;
-        if remaining > MAX_BODY_BYTES {
+        if remaining_bytes > MAX_BODY_BYTES {
             return Err(HttpError::BodyTooLong);
         }
-        return Ok(State::Body { remaining });
+        return Ok(State::Body { remaining_bytes });
     }
     Ok(match status {
         204 | 304 => State::Complete,
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -43,7 +43,7 @@
     writes: SyncSender<PendingWrite>,
     results: Receiver<WriteResult>,
     /// Number of submitted writes whose result has not been received.
-    pending: usize,
+    pending_writes: usize,
 }
 
 impl BackgroundWriter {
@@ -65,20 +65,20 @@
         Ok(BackgroundWriter {
             writes,
             results,
-            pending: 0,
+            pending_writes: 0,
         })
     }
 
     /// Whether the result of a submitted write has not been received yet.
     pub(super) fn has_pending(&self) -> bool {
-        self.pending > 0
+        self.pending_writes > 0
     }
 
     /// Queues a snapshot for the thread without blocking.
     pub(super) fn submit(&mut self, write: PendingWrite) -> Result<(), SubmitError> {
         match self.writes.try_send(write) {
             Ok(()) => {
-                self.pending += 1;
+                self.pending_writes += 1;
                 Ok(())
             }
             Err(TrySendError::Full(_)) => Err(SubmitError::Busy),
@@ -89,14 +89,14 @@
     /// Receives the next result without blocking; `None` if none is available.
     pub(super) fn try_result(&mut self) -> Option<WriteResult> {
         let result = self.results.try_recv().ok()?;
-        self.pending -= 1;
+        self.pending_writes -= 1;
         Some(result)
     }
 
     /// Waits for the next result; `None` if the timeout expires or the thread has ended.
     pub(super) fn wait_for_result(&mut self, timeout: Duration) -> Option<WriteResult> {
         let result = self.results.recv_timeout(timeout).ok()?;
-        self.pending -= 1;
+        self.pending_writes -= 1;
         Some(result)
     }
 }
