--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Number of bytes in the chain.
+    /// Returns the number of bytes in the chain.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The contiguous parts of a byte range, in order. A range beyond the end is truncated.
+    /// Returns the contiguous parts of a byte range, in order. A range beyond the end is truncated.
     pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let mut offset = 0;
         self.buffers.iter().filter_map(move |buffer| {
--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -186,8 +186,8 @@
     );
 }
 
-/// The current weight of a record. A record about a process has the weight 0 unless the endpoint
-/// list in the same snapshot has this process under the same endpoint name.
+/// Returns the current weight of a record. A record about a process has the weight 0 unless the
+/// endpoint list in the same snapshot has this process under the same endpoint name.
 fn weight(record: &Record, listed: &BTreeMap<&str, &Process>, now: Timestamp) -> f64 {
     let process_match = record.observed_process().map(|process| {
         let listed = listed.get(process.endpoint.as_str()).copied();
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -121,7 +121,8 @@
             || !self.waiting_for_buffers.is_empty() && !context.client_pool.is_exhausted()
     }
 
-    /// Number of requests whose client waits for a response or that have an attempt in flight.
+    /// Returns the number of requests whose client waits for a response or that have an attempt in
+    /// flight.
     pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -22,7 +22,6 @@
 /// Limit on the bytes discarded in one event-loop iteration.
 const DISCARDED_BYTES_PER_ITERATION: usize = MAX_DISCARDED_BYTES / 4;
 
-/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
     /// Waits for the startup message.
@@ -40,10 +39,7 @@
     /// An extended query was rejected; its remaining messages up to Sync are skipped.
     SkippingToSync,
     /// Waits for the response to a request; later messages are handled after that.
-    AwaitingResponse {
-        /// The request.
-        request: RequestId,
-    },
+    AwaitingResponse { request: RequestId },
     /// Closes once the output is written and the client has finished sending. Input is discarded.
     Closing {
         /// Bytes discarded so far.
@@ -51,7 +47,6 @@
     },
 }
 
-/// One client connection.
 pub(super) struct ClientConnection {
     pub(super) connection: Connection,
     pub(super) state: ClientState,
@@ -69,7 +64,7 @@
         }
     }
 
-    /// The stage, derived from the state and the buffers.
+    /// Returns the stage, derived from the state and the buffers.
     pub(super) fn stage(&self) -> Stage {
         let has_unwritten = !self.connection.output.is_empty();
         let has_unused = !self.connection.input.is_empty();
@@ -88,7 +83,7 @@
         matches!(self.state, ClientState::Closing { .. })
     }
 
-    /// The request whose response the client waits for.
+    /// Returns the request whose response the client waits for, or `None` if it waits for none.
     pub(super) fn pending_request(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse { request } => Some(request),
@@ -131,8 +126,8 @@
         self.connection.may_be_readable() || self.is_open() && next() != Ok(None)
     }
 
-    /// The number of input bytes to read: the complete next message if it can be handled, otherwise
-    /// only the read-ahead.
+    /// Returns the number of input bytes to read: the complete next message if it can be handled,
+    /// otherwise only the read-ahead.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_mostly_free() {
             EXTENDED_READ_AHEAD_BYTES
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -168,7 +168,7 @@
     client.accepts_messages() && client.may_have_message()
 }
 
-/// When the timeout of a connection's stage expires; `None` if the stage has no timeout.
+/// Returns when the timeout of a connection's stage expires; `None` if the stage has no timeout.
 fn stage_deadline(
     client: &ClientConnection,
     entry: StageEntry,
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -13,11 +13,10 @@
 
 /// The result of handling the next message.
 pub(super) enum MessageResult {
-    /// The message was not received completely.
+    /// More input is needed.
     Incomplete,
-    /// The message was handled.
     Handled,
-    /// The message is a query, which the caller handles; its body was copied.
+    /// The message is a query, which the caller has to handle; its body was copied.
     Query {
         /// When the last byte of the message was received.
         arrived_at: Timestamp,
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -38,7 +38,6 @@
     pub(super) arrived_at: Timestamp,
 }
 
-/// A validated statement.
 struct ValidStatement<'a> {
     text: &'a str,
     statement: ClientStatement<'a>,
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -41,7 +41,8 @@
 }
 
 impl Stage {
-    /// How long a connection may stay in the stage; `None` if the client cannot end the stage.
+    /// Returns how long a connection may stay in the stage; `None` if the client cannot end the
+    /// stage.
     pub const fn timeout(self) -> Option<Duration> {
         match self {
             Stage::Closing => Some(CLOSING_TIMEOUT),
@@ -58,11 +59,11 @@
 /// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StageEntry {
-    /// The stage.
+    /// What the connection waits for.
     pub stage: Stage,
-    /// When the connection entered it.
+    /// When the connection entered the stage.
     pub since: Timestamp,
-    /// The connection.
+    /// The key of the connection.
     pub connection: ClientKey,
 }
 
@@ -113,14 +114,14 @@
         self.by_connection.get(&connection).copied()
     }
 
-    /// The number of connections in [`Stage::Idle`].
+    /// Returns the number of connections in [`Stage::Idle`].
     pub fn idle_count(&self) -> usize {
         self.idle_count
     }
 
-    /// Connections that may be closed to make room for another one, in eviction order: those that
-    /// are closing already, then those without a pending request that entered their stage at or
-    /// before `latest`.
+    /// Returns the connections that may be closed to make room for another one, in eviction order:
+    /// those that are closing already, then those without a pending request that entered their
+    /// stage at or before `latest`.
     pub fn eviction_order(&self, latest: Timestamp) -> impl Iterator<Item = StageEntry> {
         self.in_order
             .iter()
@@ -129,7 +130,8 @@
             .copied()
     }
 
-    /// Connections that are in a stage and entered it before a time, the earliest first.
+    /// Returns the connections that are in a stage and entered it before a time, the earliest
+    /// first.
     pub fn entered_stage_before(
         &self,
         stage: Stage,
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The Unix time at the start plus the monotonic time since.
+    /// Returns the Unix time at the start plus the monotonic time since.
     pub fn now(&self) -> Timestamp {
         self.unix_start + self.monotonic_start.elapsed()
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -64,7 +64,7 @@
     pub known_endpoints: EndpointList,
     /// The settings of the load-balancing policy.
     pub settings: Settings,
-    /// The settings of connections.
+    /// Timeouts and other settings of the connections to endpoints.
     pub connections: ConnectionSettings,
 }
 
@@ -179,7 +179,7 @@
     }
 }
 
-/// The text of a string without quotes; any other value as JSON.
+/// Returns the text of a string without quotes, or any other value as JSON.
 fn plain_text(value: &Value) -> String {
     value
         .as_str()
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -39,29 +39,29 @@
 /// The owner of a socket or a deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Owner {
-    /// The component.
+    /// The component to which the socket or the deadline belongs.
     pub component: Component,
     /// The connection or stream within the component; 0 if the component has only one.
     pub slot: SlotKey,
 }
 
 impl Owner {
-    /// A connection, stream or deadline of a component.
+    /// Creates the owner for a connection, stream or deadline of a component.
     pub const fn new(component: Component, slot: SlotKey) -> Owner {
         Owner { component, slot }
     }
 
-    /// A component that has only one socket or deadline.
+    /// Creates the owner for a component that has only one socket or deadline.
     pub const fn only(component: Component) -> Owner {
         Owner::new(component, SlotKey::new(0))
     }
 
-    /// The connection of a client.
+    /// Creates the owner for the connection of a client.
     pub fn client(key: ClientKey) -> Owner {
         Owner::new(Component::Client, key.into())
     }
 
-    /// A connection to an endpoint.
+    /// Creates the owner for a connection to an endpoint.
     pub fn endpoint(key: EndpointConnectionKey) -> Owner {
         Owner::new(Component::Endpoint, key.into())
     }
@@ -91,7 +91,7 @@
     pub control_pool: Pool,
     /// The deadlines of all components.
     pub deadlines: Deadlines<Owner>,
-    /// The log.
+    /// The logger of all components.
     pub log: Logger,
     /// The time of the current event-loop iteration.
     pub now: Timestamp,
@@ -122,6 +122,6 @@
 pub struct EventContext<'a> {
     /// The shared resources for I/O.
     pub io: &'a mut IoContext,
-    /// The policy.
+    /// The policy, which is notified of the events.
     pub policy: &'a mut Balancer,
 }
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The time of the earliest deadline.
+    /// Returns the time of the earliest deadline, or `None` if none is set.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.by_time.first().map(|(at, _)| *at)
     }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -113,13 +113,13 @@
         apply(list, upstream, context);
     }
 
-    /// The version of the current list.
+    /// Returns the version of the current list.
     pub fn list_version(&self) -> u64 {
         self.list.version
     }
 
-    /// When discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before the
-    /// first line.
+    /// Returns when discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before
+    /// the first line.
     pub fn list_confirmed_at(&self) -> Timestamp {
         self.list.confirmed_at
     }
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -34,7 +34,7 @@
     /// removed; those missing from any other list are unchanged.
     #[serde(rename = "full")]
     pub is_complete: bool,
-    /// The listed endpoints.
+    /// All endpoints if the list is complete, otherwise those that have changed.
     #[serde(rename = "servers")]
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -75,7 +75,7 @@
 }
 
 impl ListedEndpoint {
-    /// The endpoint's state, and its process unless the endpoint has been removed.
+    /// Returns the endpoint's state, and its process unless the endpoint has been removed.
     pub fn listing(&self) -> EndpointListing {
         let process = ProcessIdentity {
             address: self.address,
@@ -89,14 +89,14 @@
         }
     }
 
-    /// When the process started. A time of 0 or less stands for a process that has run for longer
-    /// than it takes to warm up, and gives `None`.
+    /// Returns when the process started. A time of 0 or less stands for a process that has run for
+    /// longer than it takes to warm up, and gives `None`.
     fn started_at(&self) -> Option<Timestamp> {
         let micros = (self.started_ms.max(0.0) * 1000.0) as u64;
         (micros > 0).then(|| Timestamp::from_micros(micros))
     }
 
-    /// The endpoint in the form that the policy takes.
+    /// Converts the endpoint to the form that the policy takes.
     pub fn entry(&self) -> EndpointEntry<'_> {
         EndpointEntry {
             name: &self.name,
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -51,7 +51,7 @@
 /// Whether the event loop continues after an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopState {
-    /// The event loop continues.
+    /// Another iteration has to run.
     Running,
     /// The proxy has shut down after SIGTERM.
     Finished,
@@ -59,7 +59,7 @@
 
 /// When the next iteration starts if no socket becomes ready and no signal arrives before.
 struct Schedule {
-    /// The earliest deadline.
+    /// The earliest deadline of any component; `None` if none is set.
     next_deadline: Option<Timestamp>,
     /// How long to wait for events; `None` to wait without limit.
     timeout: Option<Duration>,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -159,7 +159,7 @@
         Progress::Advanced
     }
 
-    /// Moves up to `wanted_bytes` to the body. Returns how many are still missing.
+    /// Moves up to `wanted_bytes` to the body. Returns how many bytes are still missing.
     fn read_body(&mut self, input: &mut Chain, wanted_bytes: usize) -> Result<usize, HttpError> {
         let available = wanted_bytes.min(input.len());
         if self.body.len() + available > MAX_BODY_BYTES {
@@ -259,7 +259,7 @@
     }
 }
 
-/// The state that follows the head, which depends on how the length of the body is given.
+/// Returns the state that follows the head, which depends on how the length of the body is given.
 fn body_state(head: &httparse::Response, status: u16) -> Result<State, HttpError> {
     if header_value(head, "transfer-encoding").is_some_and(|value| value.ends_with("chunked")) {
         return Ok(State::ChunkSize);
@@ -279,7 +279,7 @@
     })
 }
 
-/// The value of a header, trimmed and in lower case.
+/// Returns the value of a header, trimmed and in lower case.
 fn header_value(head: &httparse::Response, name: &str) -> Option<String> {
     let header = head
         .headers
--- a/crates/proxy/src/ids.rs
+++ b/crates/proxy/src/ids.rs
@@ -16,12 +16,12 @@
         SlotKey(number)
     }
 
-    /// The numeric value.
+    /// Returns the numeric value.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The key with the next higher number.
+    /// Returns the key with the next higher number.
     pub const fn next(self) -> SlotKey {
         SlotKey(self.0 + 1)
     }
--- a/crates/proxy/src/log_lines.rs
+++ b/crates/proxy/src/log_lines.rs
@@ -18,32 +18,33 @@
 /// Length to which the error message of an endpoint is truncated in the log.
 const MAX_MESSAGE_CHARS: usize = 200;
 
-/// The proxy has started and accepts clients.
+/// Logs that the proxy has started and accepts clients.
 pub fn serving(log: &Logger, listen: SocketAddr) {
     info!(log, "serving"; "listen" => %listen);
 }
 
-/// SIGTERM was received, and shutdown begins.
+/// Logs that SIGTERM was received and shutdown begins.
 pub fn stopping(log: &Logger, open_requests: usize) {
     info!(log, "stopping"; "open_requests" => open_requests);
 }
 
-/// Shutdown is complete, and the process exits. The experiments read the key `longest_turn_us`.
+/// Logs that shutdown is complete and the process exits. The experiments read the key
+/// `longest_turn_us`.
 pub fn stopped(log: &Logger, longest_iteration: Duration) {
     info!(log, "stopped"; "longest_turn_us" => longest_iteration.as_micros() as u64);
 }
 
-/// An iteration of the event loop started late.
+/// Logs that an iteration of the event loop started `delay` after its deadline.
 pub fn event_loop_delayed(log: &Logger, delay: Duration) {
     warn!(log, "event loop delayed"; "delay_ms" => delay.as_millis());
 }
 
-/// The handler of a connection panicked; the connection is closed.
+/// Logs that the handler of a connection panicked. The connection is closed.
 pub fn handler_panicked(log: &Logger, component: Component) {
     error!(log, "handler panicked"; "component" => ?component);
 }
 
-/// Closing a connection after a panic of its handler panicked too.
+/// Logs that closing a connection after a panic of its handler panicked too.
 pub fn cleanup_panicked(log: &Logger, component: Component) {
     error!(log, "cleanup panicked"; "component" => ?component);
 }
@@ -57,19 +58,20 @@
     pub platform: bool,
 }
 
-/// SIGHUP was received and the new configuration is in use.
+/// Logs that SIGHUP was received and the new configuration is in use.
 pub fn configuration_reloaded(log: &Logger, changes: AddressChanges) {
     info!(log, "configuration reloaded";
         "discovery_changed" => changes.discovery, "platform_changed" => changes.platform);
 }
 
-/// SIGHUP was received; the new configuration is invalid and the previous one stays in use.
+/// Logs that SIGHUP was received and the new configuration is invalid. The previous one stays in
+/// use.
 pub fn configuration_rejected(log: &Logger, error: &dyn Display) {
     warn!(log, "configuration rejected"; "error" => error.to_string().replace('\n', " "));
 }
 
-/// This instance has decided that a build must be rolled back. `tidescale explain` parses this
-/// line.
+/// Logs that this instance has decided that a build must be rolled back. `tidescale explain` parses
+/// this line.
 pub fn rollback_verdict(log: &Logger, verdict: &RollbackVerdict) {
     let round = |value: f64| format!("{value:.2}");
     info!(log, "rollback verdict";
@@ -88,7 +90,7 @@
         "ejected_endpoints" => verdict.ejected_endpoints);
 }
 
-/// The name of a test in the log.
+/// Returns the name of a test in the log.
 pub fn test_name(test: EvidenceTest) -> &'static str {
     match test {
         EvidenceTest::Failures => "failures",
@@ -98,109 +100,110 @@
     }
 }
 
-/// A vote is sent to the platform.
+/// Logs that a vote is sent to the platform.
 pub fn vote_cast(log: &Logger, ballot: Ballot) {
     info!(log, "vote cast";
         "build" => ballot.build.get(), "stage" => ballot.stage.get(), "vote" => ?ballot.vote);
 }
 
-/// The platform has neither accepted nor superseded a vote.
+/// Logs that the platform has neither accepted nor superseded a vote.
 pub fn vote_not_counted(log: &Logger, result: VoteResult) {
     info!(log, "vote not counted"; "result" => ?result);
 }
 
-/// The platform's response to a vote cannot be parsed.
+/// Logs that the platform's response to a vote cannot be parsed.
 pub fn invalid_vote_response(log: &Logger, status: u16) {
     info!(log, "invalid vote response"; "status" => status);
 }
 
-/// A vote could not be sent.
+/// Logs that no connection to the platform could be opened, so that a vote could not be sent.
 pub fn platform_connection_failed(log: &Logger, error: &dyn Display) {
     info!(log, "platform connection failed"; "error" => %error);
 }
 
-/// The stream from discovery or the platform ended; the proxy reconnects after the backoff.
+/// Logs that the stream from discovery or the platform ended. The proxy reconnects after `backoff`.
 pub fn stream_ended(log: &Logger, component: Component, error: &dyn Display, backoff: Duration) {
     info!(log, "stream ended"; "component" => ?component,
         "error" => %error, "reconnect_ms" => backoff.as_millis());
 }
 
-/// Discovery sent an endpoint list that is older than the current one.
+/// Logs that discovery sent an endpoint list that is older than the current one.
 pub fn stale_endpoint_list_ignored(log: &Logger, version: u64, current_version: u64) {
     info!(log, "stale endpoint list ignored";
         "version" => version, "current_version" => current_version);
 }
 
-/// A connection attempt to an endpoint failed immediately.
+/// Logs that a connection attempt to an endpoint failed immediately.
 pub fn endpoint_connection_failed(log: &Logger, endpoint: &str, error: &dyn Display) {
     info!(log, "endpoint connection failed"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// All file descriptors for connections to endpoints are in use; the attempt or health check is not
-/// sent.
+/// Logs that all file descriptors for connections to endpoints are in use. The attempt or health
+/// check is not sent.
 pub fn endpoint_connection_limit_reached(log: &Logger, endpoint: &str) {
     info!(log, "endpoint connection limit reached"; "endpoint" => endpoint);
 }
 
-/// An attempt or a health check ended without a response.
+/// Logs that an attempt or a health check ended without a response.
 pub fn exchange_failed(log: &Logger, endpoint: &str, error: &dyn Display) {
     info!(log, "exchange failed"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// An endpoint violated the protocol; the connection is closed.
+/// Logs that an endpoint violated the protocol. The connection is closed.
 pub fn invalid_endpoint_message(log: &Logger, endpoint: &str, error: &dyn Display) {
     info!(log, "invalid endpoint message"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// An endpoint responded with an SQLSTATE that the proxy does not know.
+/// Logs that an endpoint responded with an SQLSTATE that the proxy does not know.
 pub fn unknown_endpoint_error(log: &Logger, endpoint: &str, error: &ErrorResponse) {
     let message: String = error.message.chars().take(MAX_MESSAGE_CHARS).collect();
     info!(log, "unknown endpoint error";
         "endpoint" => endpoint, "sqlstate" => &error.code, "error" => message);
 }
 
-/// The load report of an endpoint cannot be parsed.
+/// Logs that the load report of an endpoint cannot be parsed.
 pub fn invalid_load_report(log: &Logger, endpoint: &str) {
     info!(log, "invalid load report"; "endpoint" => endpoint);
 }
 
-/// The operating system failed to accept a connection of a client.
+/// Logs that the operating system failed to accept a connection of a client.
 pub fn accept_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "accept failed"; "error" => %error);
 }
 
-/// An accepted connection of a client could not be registered for events.
+/// Logs that an accepted connection of a client could not be registered for events.
 pub fn client_registration_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "client registration failed"; "error" => %error);
 }
 
-/// A client violated the protocol; it is sent an error and its connection is closed.
+/// Logs that a client violated the protocol. It is sent an error and its connection is closed.
 pub fn invalid_client_message(log: &Logger, error: &dyn Display) {
     info!(log, "invalid client message"; "error" => %error);
 }
 
-/// A client did not complete a message in time; it is sent an error and its connection is closed.
+/// Logs that a client did not complete a message in time. It is sent an error and its connection is
+/// closed.
 pub fn client_message_timed_out(log: &Logger) {
     info!(log, "client message timed out");
 }
 
-/// The buffers for clients are exhausted; the oldest incomplete message is rejected and its
-/// connection is closed.
+/// Logs that the buffers for clients are exhausted. The oldest incomplete message is rejected and
+/// its connection is closed.
 pub fn client_buffers_exhausted(log: &Logger) {
     info!(log, "client buffers exhausted");
 }
 
-/// A client sent a statement that the proxy does not support; it is sent an error.
+/// Logs that a client sent a statement that the proxy does not support. It is sent an error.
 pub fn statement_rejected(log: &Logger, error: &dyn Display) {
     info!(log, "statement rejected"; "error" => %error);
 }
 
-/// Snapshots cannot be used; the instance serves without them.
+/// Logs that snapshots cannot be read or written. The instance runs without them.
 pub fn snapshots_disabled(log: &Logger, folder: &Path, error: &dyn Display) {
     warn!(log, "snapshots disabled"; "folder" => %folder.display(), "error" => %error);
 }
 
-/// A snapshot file cannot be used and was renamed for inspection.
+/// Logs that a snapshot file cannot be used and was renamed for inspection.
 pub fn snapshot_file_quarantined(log: &Logger, file: &dyn Display) {
     warn!(log, "snapshot file quarantined"; "file" => %file);
 }
@@ -212,27 +215,28 @@
     pub records: usize,
     /// The number of restored records; the others have expired or no longer apply.
     pub restored: usize,
-    /// The age of the snapshot.
+    /// The time between the write and the restoration of the snapshot.
     pub age: Duration,
 }
 
-/// A snapshot was restored on startup.
+/// Logs that a snapshot was restored on startup.
 pub fn snapshot_restored(log: &Logger, snapshot: RestoredSnapshot) {
     info!(log, "snapshot restored"; "records" => snapshot.records,
         "restored" => snapshot.restored, "age_s" => snapshot.age.as_secs());
 }
 
-/// A snapshot was not written; the previous one is kept.
+/// Logs that a snapshot was not written. The previous one is kept.
 pub fn snapshot_write_failed(log: &Logger, error: &dyn Display) {
     warn!(log, "snapshot write failed"; "error" => %error);
 }
 
-/// The final snapshot at shutdown is on disk. The experiments read the key `longest_slice_us`.
+/// Logs that the final snapshot at shutdown is on disk. The experiments read the key
+/// `longest_slice_us`.
 pub fn final_snapshot_written(log: &Logger, longest_slice: Duration) {
     info!(log, "final snapshot written"; "longest_slice_us" => longest_slice.as_micros() as u64);
 }
 
-/// The final snapshot at shutdown was not written within the configured time.
+/// Logs that the final snapshot at shutdown was not written within the configured time.
 pub fn final_snapshot_timed_out(log: &Logger) {
     warn!(log, "final snapshot timed out");
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -19,9 +19,9 @@
 /// The call site of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLine {
-    /// The source file.
+    /// The path of the source file.
     pub file: &'static str,
-    /// The line number.
+    /// The number of the line in the file, from 1.
     pub line: u32,
 }
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -9,7 +9,7 @@
 use tidescale_proxy::cli::{self, Cli, Command};
 use tidescale_proxy::start;
 
-/// The exit code for invalid arguments.
+/// Exit code for invalid arguments, the same as that of clap.
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -56,7 +56,7 @@
     pub snapshot: Option<SnapshotSettings>,
 }
 
-/// The settings of snapshots.
+/// Settings for snapshots, in the table `memory` of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotSettings {
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -35,9 +35,10 @@
 
 /// The kinds of messages that one side of a connection sends after the startup message.
 pub trait MessageKind: Copy {
-    /// The kind with a type byte; `None` if this side may not send such a message.
+    /// Returns the kind of message with this type byte; `None` if this side may not send such a
+    /// message.
     fn from_type_byte(byte: u8) -> Option<Self>;
-    /// Maximum length of the body in bytes, without the type byte and the length field.
+    /// Returns the maximum length of the body in bytes, without the type byte and the length field.
     fn max_body_bytes(self) -> usize;
 }
 
@@ -50,7 +51,7 @@
     ExtendedQuery,
     /// Ends an extended query.
     Sync,
-    /// A function call.
+    /// A function call, which the proxy rejects.
     FunctionCall,
     /// Requests that buffered responses are sent; the proxy never delays responses.
     Flush,
@@ -162,7 +163,7 @@
 /// The kind and the length of the message at the front of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<K> {
-    /// The kind.
+    /// The kind of message: its type byte or, at the start of a connection, its code.
     pub kind: K,
     /// Length in bytes, including the header.
     pub length: usize,
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -48,7 +48,7 @@
     /// The configured limit leaves no descriptors for clients or endpoints.
     #[error("limits.sockets: {limit} leaves no descriptors for clients or endpoints")]
     TooFewDescriptors {
-        /// The configured limit.
+        /// The configured maximum number of file descriptors.
         limit: usize,
     },
 }
@@ -103,7 +103,8 @@
         })
     }
 
-    /// The endpoint list and the processes in it, which snapshots store besides the policy's state.
+    /// Returns the endpoint list and the processes in it, which snapshots store besides the
+    /// policy's state.
     pub(crate) fn listed_processes(&self) -> ListedProcesses<'_> {
         ListedProcesses {
             upstream: &self.upstream,
--- a/crates/proxy/src/proxy/events.rs
+++ b/crates/proxy/src/proxy/events.rs
@@ -9,7 +9,7 @@
 use crate::config::Config;
 use crate::context::ReadyEvents;
 
-/// The events of one iteration.
+/// Delivers the events of one iteration to the policy.
 pub(crate) struct IterationEvents<'a> {
     pub(crate) proxy: &'a RefCell<Proxy>,
     pub(crate) events: &'a mut ReadyEvents,
@@ -21,7 +21,7 @@
     }
 }
 
-/// The events of the first iteration, preceded by the contents of the configuration.
+/// Delivers the contents of the configuration, and then the events of the first iteration.
 pub(crate) struct StartEvents<'a> {
     pub(crate) config: &'a Config,
     pub(crate) iteration: IterationEvents<'a>,
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The buffer pools.
+/// The buffer pools among which the memory for buffers is divided.
 pub struct BufferBudget {
     /// For input from endpoints, and for all output.
     pub endpoints: Pool,
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -126,7 +126,7 @@
     Status(StatusMessage),
     /// A client has reported a response of an endpoint as wrong.
     ResponseFlagged {
-        /// The name of the endpoint.
+        /// The name of the endpoint that sent the response.
         endpoint: String,
         /// How long ago the endpoint responded.
         age: Duration,
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -57,8 +57,8 @@
 }
 
 impl Shutdown {
-    /// Starts in the running state. `longest_request_deadline` is the longest time limit of a
-    /// request.
+    /// Creates a shutdown in the running state. `longest_request_deadline` is the longest time
+    /// limit of a request.
     pub fn new(longest_request_deadline: Duration) -> Shutdown {
         Shutdown {
             state: State::Running,
--- a/crates/proxy/src/slots.rs
+++ b/crates/proxy/src/slots.rs
@@ -39,7 +39,7 @@
         self.table.len() >= self.capacity
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn entry_count(&self) -> usize {
         self.table.len()
     }
@@ -71,7 +71,7 @@
         self.table.remove(to_table_key(key))
     }
 
-    /// All entries with their keys.
+    /// Returns all entries with their keys, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.table
             .iter()
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -132,7 +132,7 @@
         self.scheduler.record_time(duration, now);
     }
 
-    /// The time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
+    /// Returns the time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.scheduler.next_wake_up(now)
     }
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -33,7 +33,6 @@
     /// The queue is full, because the disk is slow.
     #[error("an earlier snapshot is still waiting to be written")]
     Busy,
-    /// The thread has ended.
     #[error("the snapshot thread has ended")]
     Stopped,
 }
@@ -47,7 +46,7 @@
 }
 
 impl BackgroundWriter {
-    /// Starts the thread.
+    /// Starts the thread, which owns `store` from then on.
     pub(super) fn start<D: Disk + Send + 'static>(
         mut store: Store<D>,
     ) -> io::Result<BackgroundWriter> {
--- a/crates/proxy/src/snapshot_writer/listed_processes.rs
+++ b/crates/proxy/src/snapshot_writer/listed_processes.rs
@@ -17,7 +17,7 @@
 }
 
 impl ListedProcesses<'_> {
-    /// The process of the endpoint with this name; `None` if the endpoint is not listed.
+    /// Returns the process of the endpoint with this name; `None` if the endpoint is not listed.
     pub(super) fn process(&self, endpoint: &str) -> Option<Process> {
         let identity = self.upstream.process_of(endpoint)?;
         Some(Process {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -63,7 +63,7 @@
     /// Keep-alive timeout: the longest time between two messages in which nothing is received, not
     /// even a keep-alive.
     pub keep_alive: Duration,
-    /// The longest time until a response starts.
+    /// The longest time from connecting until the first bytes of the response.
     pub response_start: Duration,
     /// The longest backoff before the stream is opened again; jitter at most doubles it.
     pub max_backoff: Duration,
--- a/crates/proxy/src/stream/backoff.rs
+++ b/crates/proxy/src/stream/backoff.rs
@@ -9,7 +9,6 @@
 /// The delay before the first reconnect, without jitter.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// The backoff state of one stream.
 pub(super) struct Backoff {
     delay: Duration,
     max_delay: Duration,
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The owner of its deadline and its socket.
+    /// Returns the owner of its deadline and its socket.
     pub(super) fn owner(&self) -> Owner {
         self.owner
     }
@@ -241,7 +241,7 @@
     }
 }
 
-/// An error unless the connection is still open and the response continues.
+/// Returns an error unless the connection is still open and the response continues.
 fn check_open(last_read: io::Result<FillStatus>, is_complete: bool) -> Result<(), StreamError> {
     match last_read? {
         FillStatus::EndOfStream => Err(StreamError::Closed),
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -67,7 +67,7 @@
 }
 
 impl EndpointListing {
-    /// The listed process.
+    /// Returns the listed process, or `None` if the endpoint has been removed.
     fn process(self) -> Option<ProcessIdentity> {
         match self {
             EndpointListing::Removed => None,
@@ -95,9 +95,9 @@
 pub struct ExchangeContext<'a> {
     /// The shared resources for I/O.
     pub io: &'a mut IoContext,
-    /// The clients.
+    /// The clients, which wait for the responses.
     pub clients: &'a mut Clients,
-    /// The policy.
+    /// The policy, which is notified of the end of each exchange.
     pub policy: &'a mut Balancer,
 }
 
@@ -131,7 +131,8 @@
 }
 
 impl Upstream {
-    /// Starts without endpoints; at most `max_connections` connections are open at a time.
+    /// Creates an empty set of endpoints. At most `max_connections` connections to all endpoints
+    /// together are open at a time.
     pub fn new(settings: ConnectionSettings, max_connections: usize) -> Upstream {
         Upstream {
             endpoints: BTreeMap::new(),
@@ -192,12 +193,12 @@
         }
     }
 
-    /// The process listed for an endpoint.
+    /// Returns the process listed for an endpoint, or `None` if the endpoint is not listed.
     pub fn process_of(&self, name: &str) -> Option<ProcessIdentity> {
         self.endpoints.get(name)?.process
     }
 
-    /// The names of all listed endpoints, in order.
+    /// Returns the names of all listed endpoints, in order.
     pub fn endpoint_names(&self) -> Vec<String> {
         self.endpoints.keys().cloned().collect()
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -10,7 +10,6 @@
 use crate::postgres::framing::MESSAGE_HEADER_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame};
 
-/// The state of a connection.
 pub(super) enum ConnectionState {
     /// It is being established: the endpoint has not sent ReadyForQuery yet.
     Connecting {
@@ -28,7 +27,6 @@
     Idle,
 }
 
-/// A connection to an endpoint.
 pub(super) struct EndpointConnection {
     pub(super) connection: Connection,
     /// The name of the endpoint.
@@ -50,8 +48,8 @@
         }
     }
 
-    /// The earlier of `deadline` and, while the connection is being established, the time limit for
-    /// that.
+    /// Returns the earlier of `deadline` and, while the connection is being established, the time
+    /// limit for that.
     pub(super) fn limit_by_connect_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.connect_deadline()
             .map_or(deadline, |at| at.min(deadline))
@@ -61,7 +59,7 @@
         self.connect_deadline().is_some()
     }
 
-    /// The exchange that the connection carries, or will carry once it is established.
+    /// Returns the exchange that the connection carries, or will carry once it is established.
     pub(super) fn exchange(&self) -> Option<&Exchange> {
         match &self.state {
             ConnectionState::Connecting { exchange, .. } => exchange.as_ref(),
@@ -78,7 +76,7 @@
         }
     }
 
-    /// The exchange, unless its outcome is known already.
+    /// Returns the exchange, unless its outcome is known already.
     pub(super) fn open_exchange(&mut self) -> Option<&mut Exchange> {
         self.exchange_mut()
             .filter(|exchange| exchange.outcome.is_none())
@@ -117,7 +115,7 @@
         };
     }
 
-    /// The exchange whose request can be written now.
+    /// Returns the exchange if its request can be written now.
     pub(super) fn exchange_to_write(&mut self) -> Option<&mut Exchange> {
         match &mut self.state {
             ConnectionState::Busy(exchange) => Some(exchange).filter(|exchange| {
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -11,13 +11,11 @@
 /// What an exchange is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeKind {
-    /// An attempt of a request.
     Attempt(AttemptId),
-    /// A health check of the endpoint.
     HealthCheck,
 }
 
-/// An exchange to start.
+/// An exchange that the policy has decided to start.
 #[derive(Clone, Copy, Debug)]
 pub struct NewExchange<'a> {
     pub(super) kind: ExchangeKind,
@@ -26,7 +24,7 @@
 }
 
 impl<'a> NewExchange<'a> {
-    /// An attempt of a request at an endpoint.
+    /// Creates an exchange for an attempt of a request at an endpoint.
     pub fn attempt(id: AttemptId, endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
         NewExchange {
             kind: ExchangeKind::Attempt(id),
@@ -35,7 +33,7 @@
         }
     }
 
-    /// A health check of an endpoint.
+    /// Creates an exchange for a health check of an endpoint.
     pub fn health_check(endpoint: &'a str, deadline: Timestamp) -> NewExchange<'a> {
         NewExchange {
             kind: ExchangeKind::HealthCheck,
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -82,8 +82,8 @@
 }
 
 impl AttemptError {
-    /// The outcome that the policy is notified of. Only a request that was written completely may
-    /// have been executed.
+    /// Returns the outcome that the policy is notified of. Only a request that was written
+    /// completely may have been executed.
     pub fn outcome(&self) -> AttemptOutcome {
         match (self.progress, &self.cause) {
             (_, AttemptErrorCause::Cancelled) => AttemptOutcome::Cancelled,
@@ -103,7 +103,7 @@
     }
 }
 
-/// The outcome of an attempt whose response is an error with this SQLSTATE.
+/// Returns the outcome of an attempt whose response is an error with this SQLSTATE.
 pub fn outcome_of_sqlstate(code: &str) -> AttemptOutcome {
     // These errors are caused by the request: any other endpoint would return them as well.
     let is_invalid_request = code.starts_with(sqlstate::DATA_EXCEPTION_CLASS)
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -63,7 +63,7 @@
         (decoded.is_err() || !is_open).then_some(CallEnd::Broken)
     }
 
-    /// The result of a vote whose call ended without a response: unknown if it was written
+    /// Returns the result of a vote whose call ended without a response: unknown if it was written
     /// completely.
     fn result_without_response(&self) -> VoteResult {
         let was_written = self.connection.output.is_empty();
@@ -76,7 +76,6 @@
 }
 
 enum State {
-    /// There is no connection.
     Disconnected,
     /// The vote could not be sent; the policy has to be notified.
     NotSent,
@@ -94,7 +93,8 @@
 }
 
 impl Votes {
-    /// Votes go to `address`; the time limit for each response is `response_timeout`.
+    /// Creates a sender of votes to `address`, which waits for each response for at most
+    /// `response_timeout`. No connection is open yet.
     pub fn new(address: SocketAddr, response_timeout: Duration) -> Votes {
         Votes {
             address,
