--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -19,8 +19,8 @@
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(6000);
 /// A service shared by all instances accepts few calls a second and queues the others. Short time
 /// limits would cause a retry storm: the service would do work whose result is discarded, and be
-/// called again. An instance is required to act on what the service has sent from 6 s after the
-/// last line of its stream.
+/// called again. From 6 s after the last line of its stream, an instance is required to apply what
+/// the service has sent.
 const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     keep_alive: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
@@ -28,7 +28,7 @@
     renewal_interval: None,
 };
 /// An agent on the host of this instance responds immediately, and calls to it are cheap. Once the
-/// keep-alive timeout has passed, the instance is required to act on all that the agent knows:
+/// keep-alive timeout has passed, the instance is required to apply the latest list of the agent:
 /// `response_start` and `max_backoff` together have to stay below the grace period.
 const LOCAL_AGENT_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -86,7 +86,7 @@
             return Ok(());
         }
         let suppressed_lines = suppressed + self.dropped.swap(0, Ordering::Relaxed);
-        // Write errors are ignored: the proxy keeps serving if it cannot log.
+        // Write errors are ignored: the proxy keeps running if it cannot log.
         let _ = if suppressed_lines == 0 {
             self.drain.log(record, values)
         } else {
--- a/crates/proxy/src/proxy/panic_isolation.rs
+++ b/crates/proxy/src/proxy/panic_isolation.rs
@@ -1,4 +1,4 @@
-//! Isolation of panics: a panic in a handler closes only the connection that it served. Panics are
+//! Isolation of panics: a panic in a handler closes only the connection that it handled. Panics are
 //! caught nowhere else.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -65,7 +65,7 @@
 impl SnapshotWriter {
     /// Locks the directory and starts the thread. Returns the writer and the newest complete
     /// snapshot. If the directory cannot be locked or the thread cannot be started, logs the error
-    /// and returns `None`; the instance then serves without snapshots.
+    /// and returns `None`; the instance then runs without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -103,8 +103,8 @@
 
 impl ExchangeContext<'_> {
     /// Whether an attempt may still be written after waiting for its connection to be established.
-    /// Checks first whether its client has disconnected: clients are served after endpoints, so the
-    /// disconnect may not have been handled yet.
+    /// Checks first whether its client has disconnected: clients are handled after endpoints, so
+    /// the disconnect may not have been noticed yet.
     fn may_still_write(&mut self, id: AttemptId) -> bool {
         let mut context = EventContext {
             io: self.io,
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -39,7 +39,7 @@
     }
 
     /// Ends an exchange whose outcome is known, if there is one. The connection then waits for
-    /// ReadyForQuery, for as long as it may take to connect.
+    /// ReadyForQuery, at most for the time limit for connecting.
     pub(super) fn finish_completed(
         &mut self,
         key: EndpointConnectionKey,
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -91,7 +91,7 @@
                 AttemptOutcome::Refused
             }
             (RequestProgress::Written, AttemptErrorCause::TimedOut) => AttemptOutcome::TimedOut,
-            // The endpoint is alive, as it has sent something, but nothing valid.
+            // The endpoint has responded, but not with a valid response.
             (RequestProgress::Written, AttemptErrorCause::Malformed(_)) => {
                 AttemptOutcome::Malformed
             }
--- a/crates/proxy/tests/log_lines/capture.rs
+++ b/crates/proxy/tests/log_lines/capture.rs
@@ -5,10 +5,8 @@
 
 use slog::{Drain, KV, Level, Logger, Never, OwnedKVList, Record, Serializer, o};
 
-/// A captured log line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Line {
-    /// The severity.
     pub level: Level,
     /// The message and the key-value pairs, in source order and separated by `, `.
     pub text: String,
