--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -5,7 +5,7 @@
 use tidescale_policy::types::Timestamp;
 
 use super::connection::{ClientConnection, ClientState};
-use crate::postgres::framing::{MESSAGE_HEADER_SIZE, STARTUP_HEADER_SIZE};
+use crate::postgres::framing::{MESSAGE_HEADER_BYTES, STARTUP_HEADER_BYTES};
 use crate::postgres::{
     self, ClientMessage, ProtocolError, Severity, StartupKind, complete_frame, sqlstate,
     startup_frame,
@@ -13,11 +13,10 @@
 
 /// The result of handling the next message.
 pub(super) enum MessageResult {
-    /// The message was not received completely.
+    /// More input is needed.
     Incomplete,
-    /// The message was handled.
     Handled,
-    /// The message is a query, which the caller handles; its body was copied.
+    /// The message is a query, which the caller has to handle; its body was copied.
     Query {
         /// When the last byte of the message was received.
         arrived_at: Timestamp,
@@ -46,7 +45,7 @@
         if matches!(self.state, ClientState::AwaitingFirstRequest { .. }) {
             self.state = ClientState::Idle;
         }
-        let arrived_at = self.take_body(MESSAGE_HEADER_SIZE..frame.length, body, now);
+        let arrived_at = self.take_body(MESSAGE_HEADER_BYTES..frame.length, body, now);
         let is_skipping = self.state == ClientState::SkippingToSync;
         match frame.kind {
             ClientMessage::Query if !is_skipping => Ok(MessageResult::Query { arrived_at }),
@@ -62,10 +61,10 @@
         }
     }
 
-    /// Handles a message that is neither a query nor skipped.
+    /// Responds to a message that is not a query, or ignores it, and updates the state.
     fn handle_non_query(&mut self, kind: ClientMessage) {
         match kind {
-            ClientMessage::Terminate => self.state = ClientState::Closing { discarded: 0 },
+            ClientMessage::Terminate => self.state = ClientState::Closing { discarded_bytes: 0 },
             ClientMessage::Sync => {
                 self.state = ClientState::Idle;
                 postgres::put_ready_for_query(&mut self.connection.output);
@@ -95,7 +94,7 @@
         let Some(frame) = startup_frame(&self.connection.input)? else {
             return Ok(MessageResult::Incomplete);
         };
-        self.take_body(STARTUP_HEADER_SIZE..frame.length, body, now);
+        self.take_body(STARTUP_HEADER_BYTES..frame.length, body, now);
         match frame.kind {
             StartupKind::Startup => {
                 if !postgres::startup_has_user(body)? {
@@ -108,7 +107,7 @@
             }
             // Declines encryption; the client may continue without it.
             StartupKind::Encryption => self.connection.output.push(b"N"),
-            StartupKind::Cancel => self.state = ClientState::Closing { discarded: 0 },
+            StartupKind::Cancel => self.state = ClientState::Closing { discarded_bytes: 0 },
         }
         Ok(MessageResult::Handled)
     }
@@ -125,7 +124,7 @@
     }
 
     /// Responds to a query without a statement.
-    pub(super) fn answer_empty_query(&mut self) {
+    pub(super) fn respond_to_empty_query(&mut self) {
         let output = &mut self.connection.output;
         postgres::put_empty_query_response(output);
         postgres::put_ready_for_query(output);
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -19,16 +19,16 @@
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(6000);
 /// A service shared by all instances accepts few calls a second and queues the others. Short time
 /// limits would cause a retry storm: the service would do work whose result is discarded, and be
-/// called again. An instance is required to act on what the service has sent from 6 s after the
-/// last line of its stream.
+/// called again. From 6 s after the last line of its stream, an instance is required to apply what
+/// the service has sent.
 const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
-    silence: Duration::from_millis(3500),
+    keep_alive: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
 };
 /// An agent on the host of this instance responds immediately, and calls to it are cheap. Once the
-/// keep-alive timeout has passed, the instance is required to act on all that the agent knows:
+/// keep-alive timeout has passed, the instance is required to apply the latest list of the agent:
 /// `response_start` and `max_backoff` together have to stay below the grace period.
 const LOCAL_AGENT_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
@@ -43,7 +43,8 @@
 pub enum ListSource {
     /// An agent on the host of this instance, which pushes changes.
     LocalAgent,
-    /// One service for all instances, which has to be polled.
+    /// One service for all instances, which queues their requests. It sends the list over a stream,
+    /// too, but its stream is not renewed at intervals, because each request is expensive.
     SharedService,
 }
 
@@ -112,13 +113,13 @@
         apply(list, upstream, context);
     }
 
-    /// The version of the current list.
+    /// Returns the version of the current list.
     pub fn list_version(&self) -> u64 {
         self.list.version
     }
 
-    /// When discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before the
-    /// first line.
+    /// Returns when discovery last confirmed the list by sending a line; [`Timestamp::ZERO`] before
+    /// the first line.
     pub fn list_confirmed_at(&self) -> Timestamp {
         self.list.confirmed_at
     }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -11,17 +11,17 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Level, Logger, Never, OwnedKVList, Record, o};
 
-/// Length of the windows in which the lines of a call site are counted.
-const WINDOW: Duration = Duration::from_secs(1);
+/// Duration of the windows in which the lines of a call site are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Maximum number of lines that a call site may write in one window.
 const MAX_LINES_PER_WINDOW: u32 = 5;
 
 /// The call site of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLine {
-    /// The source file.
+    /// The path of the source file.
     pub file: &'static str,
-    /// The line number.
+    /// The number of the line in the file, from 1.
     pub line: u32,
 }
 
@@ -45,7 +45,7 @@
             started: now,
             lines: 0,
         });
-        if now.duration_since(window.started) >= WINDOW {
+        if now.duration_since(window.started) >= RATE_WINDOW {
             let suppressed = window.lines.saturating_sub(MAX_LINES_PER_WINDOW);
             window.started = now;
             window.lines = 1;
@@ -86,7 +86,7 @@
             return Ok(());
         }
         let suppressed_lines = suppressed + self.dropped.swap(0, Ordering::Relaxed);
-        // Write errors are ignored: the proxy keeps serving if it cannot log.
+        // Write errors are ignored: the proxy keeps running if it cannot log.
         let _ = if suppressed_lines == 0 {
             self.drain.log(record, values)
         } else {
--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -6,39 +6,40 @@
 use super::ProtocolError;
 use crate::buffers::Chain;
 
-/// The code of protocol version 3.0 in a startup message.
+/// Protocol version 3.0 as encoded in a startup message: the major version in the upper 16 bits.
 pub const PROTOCOL_VERSION: u32 = 196_608;
 /// The codes that replace the protocol version in other requests at the start of a connection.
-const CANCEL_REQUEST: u32 = 80_877_102;
-const SSL_REQUEST: u32 = 80_877_103;
-const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
-
-/// Size of the header of a startup message: the length and the protocol version.
-pub const STARTUP_HEADER_SIZE: usize = 8;
-/// Size of the header of any other message: the type and the length.
-pub const MESSAGE_HEADER_SIZE: usize = 5;
-/// Size of the length field, which is included in the length of a message.
-const LENGTH_FIELD_SIZE: usize = 4;
-
-/// Maximum length of a startup message, as in PostgreSQL.
-const MAX_STARTUP_LENGTH: usize = 10_000;
-/// Maximum length of a value that clients write, in bytes.
-pub const MAX_VALUE_LENGTH: usize = 64 * 1024;
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
+
+/// Size of the header of a startup message in bytes: the length and the protocol version.
+pub const STARTUP_HEADER_BYTES: usize = 8;
+/// Size of the header of any other message in bytes: the type and the length.
+pub const MESSAGE_HEADER_BYTES: usize = 5;
+/// Size of the length field in bytes, which is included in the length of a message.
+const LENGTH_FIELD_BYTES: usize = 4;
+
+/// Maximum length of a startup message, including its header; the same as in PostgreSQL.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Maximum length of a value that clients write, in bytes before hexadecimal encoding.
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Maximum length of the part of a statement that is not the value.
-const MAX_STATEMENT_OVERHEAD: usize = 4096;
+const MAX_STATEMENT_OVERHEAD_BYTES: usize = 4096;
 /// Maximum length of the body of a query: a value in hexadecimal, and the rest of the statement.
-const MAX_QUERY_BODY: usize = 2 * MAX_VALUE_LENGTH + MAX_STATEMENT_OVERHEAD;
+const MAX_QUERY_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_STATEMENT_OVERHEAD_BYTES;
 /// Maximum length of the body of a data row; endpoints return values of some hundred kilobytes.
-pub const MAX_DATA_ROW_BODY: usize = 1024 * 1024;
+pub const MAX_DATA_ROW_BODY_BYTES: usize = 1024 * 1024;
 /// Maximum length of the body of a message with neither a statement nor a value.
-const MAX_OTHER_BODY: usize = 8 * 1024;
+const MAX_OTHER_BODY_BYTES: usize = 8 * 1024;
 
 /// The kinds of messages that one side of a connection sends after the startup message.
 pub trait MessageKind: Copy {
-    /// The kind with a type byte; `None` if this side may not send such a message.
+    /// Returns the kind of message with this type byte; `None` if this side may not send such a
+    /// message.
     fn from_type_byte(byte: u8) -> Option<Self>;
-    /// Maximum length of the body, in bytes.
-    fn max_body(self) -> usize;
+    /// Returns the maximum length of the body in bytes, without the type byte and the length field.
+    fn max_body_bytes(self) -> usize;
 }
 
 /// The messages of a client after the startup message.
@@ -50,7 +51,7 @@
     ExtendedQuery,
     /// Ends an extended query.
     Sync,
-    /// A function call.
+    /// A function call, which the proxy rejects.
     FunctionCall,
     /// Requests that buffered responses are sent; the proxy never delays responses.
     Flush,
@@ -80,13 +81,13 @@
         }
     }
 
-    fn max_body(self) -> usize {
+    fn max_body_bytes(self) -> usize {
         match self {
-            ClientMessage::Query => MAX_QUERY_BODY,
+            ClientMessage::Query => MAX_QUERY_BODY_BYTES,
             ClientMessage::ExtendedQuery
             | ClientMessage::FunctionCall
             | ClientMessage::CopyData
-            | ClientMessage::CopyFail => MAX_OTHER_BODY,
+            | ClientMessage::CopyFail => MAX_OTHER_BODY_BYTES,
             ClientMessage::Sync
             | ClientMessage::Flush
             | ClientMessage::CopyDone
@@ -134,14 +135,14 @@
         }
     }
 
-    fn max_body(self) -> usize {
+    fn max_body_bytes(self) -> usize {
         match self {
-            EndpointMessage::DataRow => MAX_DATA_ROW_BODY,
+            EndpointMessage::DataRow => MAX_DATA_ROW_BODY_BYTES,
             EndpointMessage::RowDescription
             | EndpointMessage::CommandComplete
             | EndpointMessage::ParameterStatus
             | EndpointMessage::Error
-            | EndpointMessage::Notice => MAX_OTHER_BODY,
+            | EndpointMessage::Notice => MAX_OTHER_BODY_BYTES,
             EndpointMessage::Authentication | EndpointMessage::BackendKeyData => 8,
             EndpointMessage::ReadyForQuery => 1,
         }
@@ -162,7 +163,7 @@
 /// The kind and the length of the message at the front of the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<K> {
-    /// The kind.
+    /// The kind of message: its type byte or, at the start of a connection, its code.
     pub kind: K,
     /// Length in bytes, including the header.
     pub length: usize,
@@ -177,16 +178,16 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(STARTUP_HEADER_SIZE..=MAX_STARTUP_LENGTH).contains(&length) {
+    if !(STARTUP_HEADER_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
         return Err(ProtocolError::StartupLength);
     }
-    let Some(code) = read_u32(input, LENGTH_FIELD_SIZE) else {
+    let Some(code) = read_u32(input, LENGTH_FIELD_BYTES) else {
         return Ok(None);
     };
     let kind = match code {
         PROTOCOL_VERSION => StartupKind::Startup,
-        SSL_REQUEST | GSS_ENCRYPTION_REQUEST if length == 8 => StartupKind::Encryption,
-        CANCEL_REQUEST if length == 16 => StartupKind::Cancel,
+        SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE if length == 8 => StartupKind::Encryption,
+        CANCEL_REQUEST_CODE if length == 16 => StartupKind::Cancel,
         _ => return Err(ProtocolError::UnknownVersion),
     };
     Ok((input.len() >= length).then_some(Frame { kind, length }))
@@ -206,7 +207,7 @@
         return Ok(None);
     };
     let length = length as usize;
-    if !(LENGTH_FIELD_SIZE..=kind.max_body() + LENGTH_FIELD_SIZE).contains(&length) {
+    if !(LENGTH_FIELD_BYTES..=kind.max_body_bytes() + LENGTH_FIELD_BYTES).contains(&length) {
         return Err(ProtocolError::MessageLength);
     }
     Ok(Some(Frame {
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -32,7 +32,8 @@
 }
 
 impl ConnectionBudget {
-    /// Splits a limit on file descriptors. Returns `None` if it is too small to serve requests.
+    /// Splits a limit on file descriptors. Returns `None` if it leaves no descriptors for clients
+    /// or endpoints.
     pub fn split(descriptor_limit: usize) -> Option<ConnectionBudget> {
         let available = descriptor_limit.saturating_sub(RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS);
         if available < ENDPOINT_DESCRIPTOR_DIVISOR {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The buffer pools.
+/// The buffer pools among which the memory for buffers is divided.
 pub struct BufferBudget {
     /// For input from endpoints, and for all output.
     pub endpoints: Pool,
@@ -61,7 +62,7 @@
     /// Splits the part of the process's memory limit, in MiB, that buffers may use.
     pub fn split(memory_mb: usize) -> BufferBudget {
         let buffers =
-            memory_mb.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_SIZE;
+            memory_mb.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_BYTES;
         let for_clients = buffers / 2;
         let for_endpoints = buffers.saturating_sub(for_clients + CONTROL_BUFFERS);
         BufferBudget {
--- a/crates/proxy/src/snapshot_writer/background.rs
+++ b/crates/proxy/src/snapshot_writer/background.rs
@@ -11,12 +11,12 @@
 use tidescale_snapshot::records::Record;
 use tidescale_snapshot::store::{SaveError, Store};
 
-/// Capacity of the queue of snapshots for the thread. One is enough, because each snapshot is
+/// Maximum number of snapshots queued for the thread. One is enough, because each snapshot is
 /// complete.
-const MAX_WAITING: usize = 1;
-/// Capacity of the queue of results for the event loop: one for the snapshot being written and one
+const MAX_QUEUED_SNAPSHOTS: usize = 1;
+/// Maximum number of results queued for the event loop: one for the snapshot being written and one
 /// for the queued one, so that the thread never waits for the event loop.
-const MAX_RESULTS: usize = 2;
+const MAX_QUEUED_RESULTS: usize = 2;
 
 /// The contents of a snapshot that is to be written.
 pub(super) struct PendingWrite {
@@ -33,7 +33,6 @@
     /// The queue is full, because the disk is slow.
     #[error("an earlier snapshot is still waiting to be written")]
     Busy,
-    /// The thread has ended.
     #[error("the snapshot thread has ended")]
     Stopped,
 }
@@ -43,16 +42,16 @@
     writes: SyncSender<PendingWrite>,
     results: Receiver<WriteResult>,
     /// Number of submitted writes whose result has not been received.
-    pending: usize,
+    pending_writes: usize,
 }
 
 impl BackgroundWriter {
-    /// Starts the thread.
+    /// Starts the thread, which owns `store` from then on.
     pub(super) fn start<D: Disk + Send + 'static>(
         mut store: Store<D>,
     ) -> io::Result<BackgroundWriter> {
-        let (writes, write_receiver) = sync_channel::<PendingWrite>(MAX_WAITING);
-        let (result_sender, results) = sync_channel(MAX_RESULTS);
+        let (writes, write_receiver) = sync_channel::<PendingWrite>(MAX_QUEUED_SNAPSHOTS);
+        let (result_sender, results) = sync_channel(MAX_QUEUED_RESULTS);
         let work = move || {
             for write in write_receiver {
                 let result = store.save(write.written_at, write.records);
@@ -65,20 +64,20 @@
         Ok(BackgroundWriter {
             writes,
             results,
-            pending: 0,
+            pending_writes: 0,
         })
     }
 
     /// Whether the result of a submitted write has not been received yet.
     pub(super) fn has_pending(&self) -> bool {
-        self.pending > 0
+        self.pending_writes > 0
     }
 
     /// Queues a snapshot for the thread without blocking.
     pub(super) fn submit(&mut self, write: PendingWrite) -> Result<(), SubmitError> {
         match self.writes.try_send(write) {
             Ok(()) => {
-                self.pending += 1;
+                self.pending_writes += 1;
                 Ok(())
             }
             Err(TrySendError::Full(_)) => Err(SubmitError::Busy),
@@ -89,14 +88,14 @@
     /// Receives the next result without blocking; `None` if none is available.
     pub(super) fn try_result(&mut self) -> Option<WriteResult> {
         let result = self.results.try_recv().ok()?;
-        self.pending -= 1;
+        self.pending_writes -= 1;
         Some(result)
     }
 
     /// Waits for the next result; `None` if the timeout expires or the thread has ended.
     pub(super) fn wait_for_result(&mut self, timeout: Duration) -> Option<WriteResult> {
         let result = self.results.recv_timeout(timeout).ok()?;
-        self.pending -= 1;
+        self.pending_writes -= 1;
         Some(result)
     }
 }
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -12,8 +12,9 @@
 use crate::logging;
 use crate::operators::{self, OperatorSettings, OperatorSettingsError};
 
-/// Maximum number of connections that wait to be accepted.
-const BACKLOG: i32 = 1024;
+/// Backlog of the listening socket: maximum number of established connections that the system
+/// queues until the proxy accepts them.
+const MAX_PENDING_CONNECTIONS: i32 = 1024;
 
 /// Why the proxy did not start, or stopped with an error.
 #[derive(Debug, thiserror::Error)]
@@ -42,8 +43,8 @@
     EventLoop(#[from] EventLoopError),
 }
 
-/// Serves until SIGTERM. `config_path` is the value of the environment variable `PROXY_CONFIG`.
-/// Without an operators' file, the features that it configures are disabled.
+/// Runs the proxy until SIGTERM. `config_path` is the value of the environment variable
+/// `PROXY_CONFIG`. Without an operators' file, the features that it configures are disabled.
 ///
 /// # Errors
 ///
@@ -79,6 +80,6 @@
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(MAX_PENDING_CONNECTIONS)?;
     Ok(socket.into())
 }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -40,9 +40,9 @@
     /// The response ended, although the connection is still open.
     #[error("complete")]
     Complete,
-    /// Nothing was received for too long, not even a keep-alive.
+    /// The keep-alive timeout expired: nothing was received, not even a keep-alive.
     #[error("silent")]
-    Silent,
+    KeepAliveTimeout,
     /// The response had started, but had not delivered a complete message when the stream was due
     /// for renewal.
     #[error("nothing delivered")]
@@ -53,16 +53,17 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
-/// A stream may send keep-alives without delivering changes; a new stream delivers those that were
-/// missed.
+/// Interval at which a working stream is replaced by a new one. A stream may send keep-alives
+/// without delivering changes; a new stream delivers those that were missed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(3000);
 
 /// The time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// The longest time without any input, including keep-alives.
-    pub silence: Duration,
-    /// The longest time until a response starts.
+    /// Keep-alive timeout: the longest time between two messages in which nothing is received, not
+    /// even a keep-alive.
+    pub keep_alive: Duration,
+    /// The longest time from connecting until the first bytes of the response.
     pub response_start: Duration,
     /// The longest backoff before the stream is opened again; jitter at most doubles it.
     pub max_backoff: Duration,
@@ -73,9 +74,9 @@
 
 impl StreamTimeouts {
     /// Timeouts for a server that responds immediately.
-    pub const fn responsive_server(silence: Duration) -> StreamTimeouts {
+    pub const fn responsive_server(keep_alive: Duration) -> StreamTimeouts {
         StreamTimeouts {
-            silence,
+            keep_alive,
             response_start: RESPONSE_TIMEOUT,
             max_backoff: MAX_BACKOFF,
             renewal_interval: Some(RENEWAL_INTERVAL),
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -25,8 +25,8 @@
 const OWNER: Owner = Owner::only(Component::Votes);
 /// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// The most bytes to read before they are handled.
-const READ_AHEAD: usize = 64 * 1024;
+/// Size of the input up to which the connection is read before the input is handled.
+const READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// A vote that waits for its response, and its connection.
 struct PendingVote {
@@ -63,7 +63,7 @@
         (decoded.is_err() || !is_open).then_some(CallEnd::Broken)
     }
 
-    /// The result of a vote whose call ended without a response: unknown if it was written
+    /// Returns the result of a vote whose call ended without a response: unknown if it was written
     /// completely.
     fn result_without_response(&self) -> VoteResult {
         let was_written = self.connection.output.is_empty();
@@ -76,7 +76,6 @@
 }
 
 enum State {
-    /// There is no connection.
     Disconnected,
     /// The vote could not be sent; the policy has to be notified.
     NotSent,
@@ -94,7 +93,8 @@
 }
 
 impl Votes {
-    /// Votes go to `address`; the time limit for each response is `response_timeout`.
+    /// Creates a sender of votes to `address`, which waits for each response for at most
+    /// `response_timeout`. No connection is open yet.
     pub fn new(address: SocketAddr, response_timeout: Duration) -> Votes {
         Votes {
             address,
@@ -242,8 +242,8 @@
 /// Writes and reads as much as possible. Returns whether the connection is still open.
 fn write_and_read(connection: &mut Connection) -> bool {
     let flushed = connection.flush();
-    let read = connection.read(READ_AHEAD);
-    flushed.is_ok() && matches!(read, Ok(fill) if fill != FillStatus::EndOfStream)
+    let read = connection.read(READ_AHEAD_BYTES);
+    flushed.is_ok() && matches!(read, Ok(status) if status != FillStatus::EndOfStream)
 }
 
 fn notify(result: VoteResult, context: &mut EventContext<'_>) {
