--- a/crates/experiments/src/restart/load.rs
+++ b/crates/experiments/src/restart/load.rs
@@ -11,7 +11,7 @@
 use crate::stand_ins::{Client, ClientAnswer, ClientNumber};
 
 /// Number of clients of a run.
-const CLIENTS: u64 = 24;
+const CLIENT_COUNT: u64 = 24;
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 /// Factor by which the interval is longer in the scenario with low traffic.
@@ -31,7 +31,7 @@
             Scenario::FaultyEndpoints | Scenario::RecoveredEndpoints => REQUEST_INTERVAL,
             Scenario::BadBuild => LOW_TRAFFIC_FACTOR * REQUEST_INTERVAL,
         };
-        let clients = (0..CLIENTS)
+        let clients = (0..CLIENT_COUNT)
             .map(ClientNumber)
             .map(|number| {
                 let stop = stop.clone();
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -18,7 +18,7 @@
 use super::configuration::{
     Configuration, ListedEndpoint, ListedState, SnapshotSettings, endpoint_list,
 };
-use super::instance::{Launch, ProxyInstance, RunNumber, free_address, run_address};
+use super::instance::{InstanceOptions, ProxyInstance, RunNumber, free_address, run_address};
 use super::scenario::{BASELINE_BUILD, ListPosition, RELEASED};
 use crate::error::ExperimentError;
 use crate::units::milliseconds;
@@ -85,16 +85,16 @@
             stop_within: Some("2 s"),
         }
         .write(&dir)?;
-        let mut launch = Launch {
+        let mut options = InstanceOptions {
             program: &environment.program,
             configuration: &configuration,
             operators_file: None,
             listen,
         };
-        let without = InstanceRun::measure(&launch)?;
+        let without = InstanceRun::measure(&options)?;
         save_snapshot(&folder, &encoded.bytes)?;
-        launch.operators_file = Some(operators_file);
-        let with = InstanceRun::measure(&launch)?;
+        options.operators_file = Some(operators_file);
+        let with = InstanceRun::measure(&options)?;
         // Files that are not removed do no harm, and an error here must not hide the result.
         let _ = fs::remove_dir_all(&dir);
         Ok(SnapshotCost {
@@ -118,8 +118,8 @@
 }
 
 impl InstanceRun {
-    fn measure(launch: &Launch) -> Result<InstanceRun, ExperimentError> {
-        let instance = ProxyInstance::start(launch)?;
+    fn measure(options: &InstanceOptions) -> Result<InstanceRun, ExperimentError> {
+        let instance = ProxyInstance::start(options)?;
         Ok(InstanceRun {
             start_up_time: instance.start_up_time,
             log: instance.stop_after(RUN_TIME)?,
--- a/crates/experiments/src/trace.rs
+++ b/crates/experiments/src/trace.rs
@@ -13,7 +13,7 @@
 use crate::error::ExperimentError;
 
 /// Every trial whose one-based number is a multiple of this has the larger fleet.
-const TRIALS_PER_GROWN_FLEET: u64 = 10;
+const TRIALS_PER_MEDIUM_FLEET: u64 = 10;
 /// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 10;
 /// Share of the trials with a good build.
@@ -82,7 +82,7 @@
     }
 
     fn size(self) -> FleetSize {
-        if (self.0 + 1).is_multiple_of(TRIALS_PER_GROWN_FLEET) {
+        if (self.0 + 1).is_multiple_of(TRIALS_PER_MEDIUM_FLEET) {
             FleetSize::MEDIUM
         } else {
             FleetSize::SMALL
--- a/crates/experiments/src/verdicts/charts.rs
+++ b/crates/experiments/src/verdicts/charts.rs
@@ -46,7 +46,7 @@
 ];
 
 /// Number of bars in the chart of times; later rollbacks are not shown.
-const TIME_BARS: usize = 8;
+const TIME_BAR_COUNT: usize = 8;
 /// Width of a bar in seconds, which is the length of one stage of the rollout.
 const SECONDS_PER_BAR: usize = 4;
 
@@ -74,12 +74,12 @@
 
 /// Writes the histogram of the seconds from the offer of a harmful build to its rollback.
 pub(super) fn write_times(path: &Path, times: &[f64]) -> Result<(), ExperimentError> {
-    let names: Vec<String> = (0..TIME_BARS)
+    let names: Vec<String> = (0..TIME_BAR_COUNT)
         .map(|bar| format!("{} s", SECONDS_PER_BAR * bar))
         .collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let bar_of = |time: f64| (time / SECONDS_PER_BAR as f64) as usize;
-    let counts: Vec<f64> = (0..TIME_BARS)
+    let counts: Vec<f64> = (0..TIME_BAR_COUNT)
         .map(|bar| times.iter().filter(|time| bar_of(**time) == bar).count() as f64)
         .collect();
     let highest = counts.iter().copied().fold(1.0, f64::max);
--- a/crates/simulation/src/build_behavior.rs
+++ b/crates/simulation/src/build_behavior.rs
@@ -11,13 +11,13 @@
 pub const NON_IDEMPOTENT_ROUTE: RouteIndex = RouteIndex::new(3);
 
 /// Number of idempotent routes; they have the lowest indexes.
-const IDEMPOTENT_ROUTES: usize = 2;
+const IDEMPOTENT_ROUTE_COUNT: usize = 2;
 /// A build counts as good if its cost per request is below this multiple of the baseline's.
 const GOOD_COST_LIMIT: f64 = 1.2;
 /// Probability that a drawn build is good.
 const GOOD_SHARE: f64 = 0.6;
 /// Number of kinds of bad builds that can be drawn.
-const BAD_BEHAVIORS: usize = 9;
+const BAD_BEHAVIOR_COUNT: usize = 9;
 
 /// The behavior of a build, relative to a baseline that never causes failures.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -102,10 +102,10 @@
     /// Draws a bad build; each kind is equally likely.
     pub fn draw_bad(random: &mut RandomStream) -> BuildBehavior {
         let probability = random.uniform_in(0.04..0.35);
-        match random.index_below(BAD_BEHAVIORS) {
+        match random.index_below(BAD_BEHAVIOR_COUNT) {
             0 => BuildBehavior::CostFactor(random.uniform_in(1.4..3.0)),
             1 => BuildBehavior::FailsOnRoute {
-                route: RouteIndex::new(random.index_below(IDEMPOTENT_ROUTES)),
+                route: RouteIndex::new(random.index_below(IDEMPOTENT_ROUTE_COUNT)),
                 probability,
             },
             2 => BuildBehavior::FailsOnRoute {
--- a/crates/simulation/src/environment.rs
+++ b/crates/simulation/src/environment.rs
@@ -22,7 +22,7 @@
 
 /// Number of distinct idempotency keys that the clients use, if they use any. Several requests
 /// share a key.
-const IDEMPOTENCY_KEYS: u64 = 97;
+const IDEMPOTENCY_KEY_COUNT: u64 = 97;
 
 /// Interval at which old requests are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
@@ -158,7 +158,9 @@
     pub(crate) fn idempotency_key(&self, request: RequestId) -> Option<String> {
         match self.case.profile {
             SettingsProfile::Standard => None,
-            SettingsProfile::Strict => Some(format!("key{}", request.get() % IDEMPOTENCY_KEYS)),
+            SettingsProfile::Strict => {
+                Some(format!("key{}", request.get() % IDEMPOTENCY_KEY_COUNT))
+            }
         }
     }
 
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoint::{Placement, SimulatedEndpoint};
 use crate::ids::{EndpointId, SlotIndex, ZoneIndex};
-use crate::parameters::{BASELINE_BUILD, BOOT_TIME, ZONES};
+use crate::parameters::{BASELINE_BUILD, BOOT_TIME, ZONE_COUNT};
 use crate::random_stream::RandomStream;
 
 /// A new endpoint that takes over a slot once it has started.
@@ -165,7 +165,7 @@
 /// to the first hardware class.
 fn initial_endpoint(id: EndpointId) -> SimulatedEndpoint {
     let placement = Placement {
-        zone: ZoneIndex::new(id.get() % ZONES),
+        zone: ZoneIndex::new(id.get() % ZONE_COUNT),
         hardware_class: HardwareClassIndex::new(usize::from(id.get() % 5 > 2)),
     };
     SimulatedEndpoint::new(format!("a{}", id.get()), placement, BASELINE_BUILD, None)
--- a/crates/simulation/src/parameters.rs
+++ b/crates/simulation/src/parameters.rs
@@ -75,10 +75,10 @@
 /// Time from an endpoint's start until it has its full capacity.
 pub(crate) const WARM_UP_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of requests that an endpoint queues, in addition to those on its cores.
-pub(crate) const QUEUE_LENGTH: usize = 60;
+pub(crate) const MAX_QUEUED_REQUESTS: usize = 60;
 
 /// Number of zones. Endpoints and instances are distributed over them round-robin.
-pub(crate) const ZONES: usize = 3;
+pub(crate) const ZONE_COUNT: usize = 3;
 /// Time for which a client waits for an answer.
 pub(crate) const REQUEST_DEADLINE: Duration = Duration::from_secs(2);
 
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::case::{SettingsProfile, TrialCase};
 use crate::ids::{InstanceIndex, ZoneIndex};
-use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONES};
+use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONE_COUNT};
 use crate::rollout::rollback_votes;
 
 /// Limit on votes per second for each instance. No instance casts as many, so the limit never takes
@@ -21,7 +21,7 @@
     Settings {
         instance_index: instance.get() as u32,
         instance_count: size.instances as u32,
-        zone: zone_name(ZoneIndex::new(instance.get() % ZONES)),
+        zone: zone_name(ZoneIndex::new(instance.get() % ZONE_COUNT)),
         routes: routes(),
         poll_endpoints: strict,
         max_poll_interval: if strict {
