--- a/crates/policy/src/admission/concurrency_limits.rs
+++ b/crates/policy/src/admission/concurrency_limits.rs
@@ -142,7 +142,7 @@
 
     /// Keeps the total limit at or above this instance's share of [`MIN_ATTEMPTS_PER_ENDPOINT`].
     /// After a stall of this instance the limit is lifted, because latencies measured across the
-    /// stall cannot be told from those under congestion.
+    /// stall are indistinguishable from latencies under congestion.
     pub(crate) fn enforce_minimum(&mut self, endpoints_in_service: usize, context: &StepContext) {
         let instances = f64::from(context.settings.instance_count);
         let minimum = if context.stalled {
--- a/crates/settings/src/routes.rs
+++ b/crates/settings/src/routes.rs
@@ -6,12 +6,10 @@
 use crate::error::SettingsError;
 use crate::raw::RawSettings;
 
-/// Returns the number of routes.
 pub(crate) fn route_count(raw: &RawSettings) -> Result<usize, SettingsError> {
     raw.count("classes")
 }
 
-/// Returns the path of a field of a route.
 pub(crate) fn route_path(route_index: usize, field: &str) -> String {
     format!("classes.{route_index}.{field}")
 }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -19,7 +19,7 @@
     /// Not a number of the expected type.
     #[error("not a number: {text}")]
     NotANumber {
-        /// The text.
+        /// The rejected text.
         text: String,
         /// Error of the standard library's parser.
         source: ParseNumberError,
@@ -27,7 +27,7 @@
     /// Not a number of milliseconds.
     #[error("not a time: {text}")]
     NotADuration {
-        /// The text.
+        /// The rejected text.
         text: String,
         /// Error of the standard library's parser.
         source: ParseFloatError,
@@ -35,13 +35,13 @@
     /// Negative, not finite, or at least 10^13 ms (317 years).
     #[error("time out of range: {text}")]
     DurationOutOfRange {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// None of the texts for true and false; see [`parse_flag`].
     #[error("not a yes or no: {text}")]
     NotAFlag {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,8 +1,8 @@
 //! The main loop: reads a batch, steps every running instance that it names, and writes the reply.
 //!
-//! Endpoint lists and lines that start or stop an instance take effect as soon as they are read.
-//! Events are buffered until the batch is complete. No reply is written to a batch that cannot be
-//! parsed completely.
+//! Endpoint lists, and lines that start or stop an instance, are applied immediately. Events are
+//! buffered until the batch is complete. No reply is written to a batch that cannot be parsed
+//! completely.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// Number of the list that a `ROSTER_CHANGE` line refers to; `None` without a valid number.
+/// Returns the number of the list that a `ROSTER_CHANGE` line refers to; `None` without a valid
+/// number.
 pub fn referenced_list_number(line: &str) -> Option<ListNumber> {
     let list_number = line.split(' ').nth(3)?;
     ListNumber::parse(list_number).ok()
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -49,19 +49,19 @@
     /// A line has fewer fields than its message requires.
     #[error("too few values: {line}")]
     TooFewValues {
-        /// The line.
+        /// The rejected line.
         line: String,
     },
     /// A line has more fields than its message allows.
     #[error("too many values: {line}")]
     TooManyValues {
-        /// The line.
+        /// The rejected line.
         line: String,
     },
     /// A line starts with an unknown message name.
     #[error("unknown message: {line}")]
     UnknownMessage {
-        /// The line.
+        /// The rejected line.
         line: String,
     },
 
@@ -74,7 +74,7 @@
     /// A setting of `SPAWN` does not have the form `PATH=TEXT`.
     #[error("not a setting: {text}")]
     MalformedSetting {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// The answer slack is shorter than a tick: the policy could not respond in time even if it
@@ -94,31 +94,31 @@
     /// The outcome of an attempt or a health check is unknown.
     #[error("unknown outcome: {text}")]
     UnknownOutcome {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// A load report is not a list of `NAME:VALUE`.
     #[error("not a load report: {text}")]
     MalformedLoadReport {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// The result of a vote is unknown.
     #[error("unknown answer to a vote: {text}")]
     UnknownVoteResult {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// The phase of a rollout is unknown.
     #[error("unknown course: {text}")]
     UnknownRolloutPhase {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// The kind of an endpoint list is unknown.
     #[error("unknown kind of list: {text}")]
     UnknownListKind {
-        /// The text.
+        /// The rejected text.
         text: String,
     },
     /// A `ROSTER_CHANGE` refers to a list for which no `INVENTORY` was read.
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -8,12 +8,12 @@
 
 use crate::error::AdapterError;
 
-/// The first field of a line; it may be empty.
+/// Returns the first field of a line, which may be empty.
 pub fn message_name(line: &str) -> &str {
     line.split(' ').next().unwrap_or_default()
 }
 
-/// The fields after the message's name, of which there must be exactly `COUNT`.
+/// Returns the fields after the message's name, of which there must be exactly `COUNT`.
 pub fn fields<const COUNT: usize>(line: &str) -> Result<[&str; COUNT], AdapterError> {
     let mut remaining = line.split(' ').skip(1);
     let mut fields = [""; COUNT];
@@ -30,7 +30,7 @@
     Ok(fields)
 }
 
-/// The field's text; `None` for `-`, a missing value.
+/// Returns the field's text; `None` for `-`, which stands for a missing value.
 pub fn optional_field(text: &str) -> Option<&str> {
     (text != "-").then_some(text)
 }
--- a/crates/simulator-adapter/src/route_names.rs
+++ b/crates/simulator-adapter/src/route_names.rs
@@ -15,7 +15,7 @@
         RouteNames(names.collect())
     }
 
-    /// Index of the route with this name.
+    /// Returns the index of the route with this name.
     pub fn index_of(&self, name: &str) -> Result<RouteIndex, AdapterError> {
         self.0
             .iter()
--- a/crates/snapshot/src/crash_history.rs
+++ b/crates/snapshot/src/crash_history.rs
@@ -74,8 +74,8 @@
     pub violation: Violation,
 }
 
-/// The records of the snapshot with this number. Their count and content are derived from the
-/// number, so that a file that mixes the content of two snapshots is detected.
+/// Returns the records of the snapshot with this number. Their count and content are derived from
+/// the number, so that a file that mixes the content of two snapshots is detected.
 pub fn records_of(number: u64) -> Vec<Record> {
     let mut rng = Rand64::new(u128::from(number));
     let count = 1 + rng.rand_u64() % MAX_RECORDS;
@@ -91,7 +91,8 @@
 
 /// Simulates one seeded history. The first run, a number of saves, is repeated with the power loss
 /// at each step in turn. Each power loss is followed by second runs with another power loss at a
-/// random step. Whatever is read back is checked against what was reported as saved.
+/// random step. After each power loss, the snapshot that is read back is checked against the saves
+/// that were reported as done.
 ///
 /// # Errors
 ///
@@ -218,7 +219,7 @@
     }
 }
 
-/// A decoder that ignores the checksum, used as an injected fault.
+/// Decodes a file without verifying its checksum. Used as an injected fault.
 ///
 /// # Errors
 ///
--- a/crates/snapshot/src/expiry.rs
+++ b/crates/snapshot/src/expiry.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// The age of a record; `None` if its time of observation is further in the future than the clock
-/// tolerance. A clock that jumps forward only makes a record older.
+/// Returns the age of a record; `None` if its time of observation is further in the future than the
+/// clock tolerance. A clock that jumps forward only makes a record older.
 pub fn age(observed_at: Timestamp, now: Timestamp) -> Option<Duration> {
     if observed_at > now + CLOCK_TOLERANCE {
         None
@@ -54,7 +54,7 @@
     }
 }
 
-/// The weight of the record now: 1 if it was just observed, falling to 0 when it expires.
+/// Returns the weight of the record now: 1 if it was just observed, falling to 0 when it expires.
 pub fn weight(record: &Record, now: Timestamp) -> f64 {
     Lifetime::of(record).weight(record.observed_at(), now)
 }
--- a/crates/snapshot/src/expiry/lifetime.rs
+++ b/crates/snapshot/src/expiry/lifetime.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The weight at `now`: 1 if just observed, falling to 0 when it expires.
+    /// Returns the weight at `now`: 1 if just observed, falling to 0 when it expires.
     pub(super) fn weight(self, observed_at: Timestamp, now: Timestamp) -> f64 {
         match age(observed_at, now) {
             Some(age) if age < self.max_age => {
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -87,7 +87,7 @@
 }
 
 impl Snapshot {
-    /// The processes of the stored endpoint list, by endpoint name.
+    /// Returns the processes of the stored endpoint list, by endpoint name.
     pub fn listed_processes(&self) -> BTreeMap<&str, &Process> {
         let mut processes = BTreeMap::new();
         for record in &self.records {
@@ -145,7 +145,7 @@
 }
 
 impl FormatError {
-    /// The reason as one word, used in the name of the quarantined file.
+    /// Returns the reason as one word, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             FormatError::Empty => "empty",
--- a/crates/snapshot/src/rate_limit.rs
+++ b/crates/snapshot/src/rate_limit.rs
@@ -40,7 +40,7 @@
         self.available -= tokens;
     }
 
-    /// Time until tokens are available; zero if some are available now.
+    /// Returns the time until tokens are available; zero if some are available now.
     pub fn wait(&mut self, now: Timestamp) -> Duration {
         self.refill(now);
         let missing = -self.available;
--- a/crates/snapshot/src/records.rs
+++ b/crates/snapshot/src/records.rs
@@ -57,7 +57,7 @@
 }
 
 impl Record {
-    /// The record's time of observation.
+    /// Returns the record's time of observation.
     pub fn observed_at(&self) -> Timestamp {
         match self {
             Record::Endpoint(record) => record.observed_at,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The process whose behaviour the record describes; `None` for other kinds of records.
+    /// Returns the process whose behavior the record describes; `None` for other kinds of records.
     pub fn observed_process(&self) -> Option<&Process> {
         match self {
             Record::Endpoint(record) => Some(&record.process),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The kind of record, as displayed to operators.
+    /// Returns the kind of record, as displayed to operators.
     pub fn kind_name(&self) -> &'static str {
         match self {
             Record::Endpoint(_) => "endpoint",
@@ -98,7 +98,7 @@
         }
     }
 
-    /// What the record describes, as displayed to operators.
+    /// Returns what the record describes, as displayed to operators.
     pub fn subject(&self) -> String {
         match self {
             Record::Endpoint(record) => {
--- a/crates/snapshot/src/records/endpoint.rs
+++ b/crates/snapshot/src/records/endpoint.rs
@@ -126,7 +126,7 @@
 }
 
 impl ListedState {
-    /// The stored value of the state.
+    /// Returns the stored value of the state.
     pub fn as_str(&self) -> &str {
         match self {
             ListedState::Ready => "active",
--- a/crates/snapshot/src/records/rollout.rs
+++ b/crates/snapshot/src/records/rollout.rs
@@ -69,7 +69,7 @@
 }
 
 impl RolloutPhase {
-    /// The stored value of the phase.
+    /// Returns the stored value of the phase.
     pub fn as_str(&self) -> &str {
         match self {
             RolloutPhase::Canary => "trial",
--- a/crates/snapshot/src/scheduler.rs
+++ b/crates/snapshot/src/scheduler.rs
@@ -61,8 +61,8 @@
         JobId(self.jobs.len() - 1)
     }
 
-    /// The job that may run one slice of its work now; `None` if no job is due or a budget is
-    /// exhausted.
+    /// Returns the job that may run one slice of its work now; `None` if no job is due or a budget
+    /// is exhausted.
     pub fn next(&mut self, now: Timestamp) -> Option<JobId> {
         if !self.budget_wait(now).is_zero() {
             return None;
@@ -91,13 +91,14 @@
         }
     }
 
-    /// Earliest time at which [`next`](Scheduler::next) may return a job; `None` without jobs.
+    /// Returns the earliest time at which [`next`](Scheduler::next) may return a job; `None`
+    /// without jobs.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         let first_due_at = self.jobs.iter().map(|job| job.due_at).min()?;
         Some(first_due_at.max(now + self.budget_wait(now)))
     }
 
-    /// Time until both budgets have tokens again.
+    /// Returns the time until both budgets have tokens again.
     fn budget_wait(&mut self, now: Timestamp) -> Duration {
         self.time.wait(now).max(self.bytes.wait(now))
     }
--- a/crates/snapshot/src/simulated_disk.rs
+++ b/crates/snapshot/src/simulated_disk.rs
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Whether the power has failed; after that, every call fails.
+    /// Returns whether the power has failed. After a power loss, every call fails.
     pub fn power_lost(&self) -> bool {
         self.power_lost
     }
 
-    /// Returns the disk as it is when the power is back on. The seed selects what has survived and
-    /// the faults that follow; the next power loss is at step `power_loss_at`.
+    /// Returns the disk after power is restored. The seed selects which unsynced changes survive
+    /// and which faults follow; the next power loss is at step `power_loss_at`.
     pub fn after_power_loss(mut self, seed: u64, power_loss_at: Option<u64>) -> SimulatedDisk {
         let mut rng = Rand64::new(u128::from(seed) ^ SURVIVAL_SEED_MASK);
         for change in std::mem::take(&mut self.name_changes) {
--- a/crates/snapshot/src/simulated_disk/file_content.rs
+++ b/crates/snapshot/src/simulated_disk/file_content.rs
@@ -6,7 +6,6 @@
 /// Size of a sector, which the disk writes completely or not at all.
 pub(super) const SECTOR_BYTES: usize = 512;
 
-/// Content of one file.
 #[derive(Clone, Default)]
 pub(super) struct FileContent {
     /// The bytes that survive any power loss.
@@ -20,12 +19,12 @@
 }
 
 impl FileContent {
-    /// The bytes that are visible to a reader.
+    /// Returns the bytes that are visible to a reader.
     pub(super) fn visible(&self) -> &[u8] {
         &self.visible
     }
 
-    /// Number of bits that survive any power loss.
+    /// Returns the number of bits that survive any power loss.
     pub(super) fn durable_bits(&self) -> usize {
         self.durable.len() * 8
     }
@@ -53,7 +52,8 @@
         self.dropped.extend(dirty);
     }
 
-    /// The content after a power loss; `survives` is called for each sector that is not durable.
+    /// Returns the content after a power loss; `survives` is called for each sector that is not
+    /// durable.
     pub(super) fn after_power_loss(&self, mut survives: impl FnMut() -> bool) -> FileContent {
         let mut content = self.durable.clone();
         for sector in self.dirty.union(&self.dropped) {
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// The disk that the store writes to.
+    /// Returns the disk that the store writes to.
     pub(crate) fn disk(&self) -> &D {
         &self.disk
     }
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -12,7 +12,7 @@
 /// not fill the disk.
 pub const MAX_QUARANTINED_FILES: usize = 4;
 
-/// Whether this is the name of a quarantined file.
+/// Returns whether this is the name of a quarantined file.
 pub(super) fn is_quarantined(name: &str) -> bool {
     name.starts_with(PREFIX)
 }
@@ -31,7 +31,6 @@
     }
 }
 
-/// A quarantined file.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QuarantinedFile<'a> {
     /// The number in its name; older files have lower numbers.
@@ -62,7 +61,7 @@
     Ok(new_name)
 }
 
-/// The number in the name of a quarantined file; `None` for other names.
+/// Returns the number in the name of a quarantined file; `None` for other names.
 fn parse_number(name: &str) -> Option<u64> {
     let number = name.strip_prefix(PREFIX)?.split('.').next()?;
     number.parse().ok()
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -22,7 +22,7 @@
 }
 
 impl ReadError {
-    /// The reason as one word, used in the name of the quarantined file.
+    /// Returns the reason as one word, used in the name of the quarantined file.
     pub fn label(&self) -> &'static str {
         match self {
             ReadError::Unreadable(_) => "unreadable",
--- a/crates/snapshot/src/store/slot.rs
+++ b/crates/snapshot/src/store/slot.rs
@@ -14,7 +14,6 @@
     /// Both slots, in the order in which they are read.
     pub(super) const BOTH: [Slot; 2] = [Slot::First, Slot::Second];
 
-    /// Name of the slot's file.
     pub(super) const fn file_name(self) -> &'static str {
         match self {
             Slot::First => "memory.0",
