--- a/crates/experiments/src/restart/configuration.rs
+++ b/crates/experiments/src/restart/configuration.rs
@@ -31,13 +31,11 @@
 
 /// An entry of the endpoint list.
 pub(super) struct ListedEndpoint<'a> {
-    /// Name of the endpoint.
     pub(super) name: &'a str,
     /// Address on which the endpoint listens.
     pub(super) address: SocketAddr,
     /// Build that the endpoint runs.
     pub(super) build: BuildNumber,
-    /// State of the endpoint.
     pub(super) state: ListedState,
 }
 
--- a/crates/experiments/src/restart/report.rs
+++ b/crates/experiments/src/restart/report.rs
@@ -67,9 +67,7 @@
 
 /// The results of all runs and measurements.
 pub(super) struct Report<'a> {
-    /// Results of the runs.
     pub(super) rows: &'a [RunRow],
-    /// Cost of the snapshots.
     pub(super) costs: &'a [SnapshotCost],
 }
 
--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -38,10 +38,8 @@
 /// Percentage of the requests to the candidate that fail.
 const CANDIDATE_ERRORS_PERCENT: u64 = 8;
 
-/// The plan of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RunPlan {
-    /// Number of the run.
     pub(super) number: RunNumber,
     /// Faults during the run.
     pub(super) scenario: Scenario,
@@ -55,7 +53,6 @@
 pub(super) struct RunRow {
     /// Faults during the run.
     pub(super) scenario: Scenario,
-    /// Seed of the run.
     pub(super) seed: u64,
     /// Whether the instance started with a snapshot.
     pub(super) kind: RestartKind,
--- a/crates/experiments/src/restart/scenario.rs
+++ b/crates/experiments/src/restart/scenario.rs
@@ -18,11 +18,8 @@
 
 /// Number of endpoints of a run.
 pub(super) const ENDPOINT_COUNT: usize = 8;
-/// Position of the slow endpoint.
 pub(super) const SLOW_ENDPOINT: ListPosition = ListPosition(0);
-/// Position of the unresponsive endpoint.
 pub(super) const UNRESPONSIVE_ENDPOINT: ListPosition = ListPosition(1);
-/// Position of the draining endpoint.
 pub(super) const DRAINING_ENDPOINT: ListPosition = ListPosition(2);
 /// Number of endpoints that run the candidate if there is one; they come first in the list.
 pub(super) const CANDIDATE_ENDPOINT_COUNT: usize = 3;
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -211,8 +211,8 @@
     SocketAddr::from(([127, 10, third_byte, fourth_byte], PORT))
 }
 
-/// Writes the configuration of an instance that knows the endpoint list from its start and can
-/// reach neither discovery nor the platform.
+/// Writes the configuration of an instance that starts with the endpoint list and can reach neither
+/// discovery nor the platform.
 fn write_configuration(
     endpoints: usize,
     listen: SocketAddr,
--- a/crates/experiments/src/restart/window.rs
+++ b/crates/experiments/src/restart/window.rs
@@ -19,7 +19,6 @@
     pub(super) const ALL: [Window; 3] =
         [Window::OneSecond, Window::ThreeSeconds, Window::TenSeconds];
 
-    /// Returns the length of the window.
     pub(super) fn length(self) -> Duration {
         match self {
             Window::OneSecond => Duration::from_secs(1),
--- a/crates/experiments/src/stand_ins/endpoint.rs
+++ b/crates/experiments/src/stand_ins/endpoint.rs
@@ -26,7 +26,7 @@
     pub delay_ms: AtomicU64,
     /// Percentage of the requests that are answered with an error.
     pub errors_percent: AtomicU64,
-    /// Whether the endpoint leaves all queries unanswered, also health checks.
+    /// Whether the endpoint leaves all queries unanswered, including health checks.
     pub unresponsive: AtomicBool,
     /// Number of requests received, not counting health checks.
     pub requests: AtomicU64,
--- a/crates/experiments/src/stand_ins/message.rs
+++ b/crates/experiments/src/stand_ins/message.rs
@@ -34,7 +34,6 @@
     pub(super) body: Vec<u8>,
 }
 
-/// Encodes a message.
 pub(super) fn encode(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag][..], &encode_length(body), body].concat()
 }
--- a/crates/experiments/src/stand_ins/services.rs
+++ b/crates/experiments/src/stand_ins/services.rs
@@ -45,7 +45,7 @@
 /// The state of a rollout, as the platform announces it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Announcement {
-    /// The build that the rollout is about.
+    /// The build that is rolled out, or the released one.
     pub build: BuildNumber,
     /// Stage of the evaluation.
     pub stage: StageIndex,
--- a/crates/experiments/src/trace.rs
+++ b/crates/experiments/src/trace.rs
@@ -12,7 +12,8 @@
 
 use crate::error::ExperimentError;
 
-/// Every trial whose one-based number is a multiple of this has the larger fleet.
+/// Every trial whose one-based number is a multiple of this has a medium fleet, all others a small
+/// one.
 const TRIALS_PER_MEDIUM_FLEET: u64 = 10;
 /// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 10;
--- a/crates/experiments/src/verdicts/interval.rs
+++ b/crates/experiments/src/verdicts/interval.rs
@@ -17,9 +17,7 @@
 /// A confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Interval {
-    /// Lower end of the interval.
     pub(super) lower: f64,
-    /// Upper end of the interval.
     pub(super) upper: f64,
 }
 
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -20,9 +20,7 @@
 
 /// The case and the results of a trial.
 pub(super) struct TrialRow {
-    /// Seed of the trial.
     pub(super) seed: u64,
-    /// Behavior of the build.
     pub(super) build: BuildBehavior,
     /// Disturbance that the build does not cause.
     pub(super) confounder: Confounder,
@@ -63,7 +61,6 @@
         self.harm >= HARM_THRESHOLD
     }
 
-    /// Returns whether the build was rolled back.
     pub(super) fn was_rolled_back(&self) -> bool {
         self.outcome.rolled_back_after.is_some()
     }
--- a/crates/simulation/src/attempts.rs
+++ b/crates/simulation/src/attempts.rs
@@ -32,7 +32,7 @@
 /// The end of an attempt, computed when the attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptEnd {
-    /// The outcome that the policy is told.
+    /// The outcome that is reported to the policy.
     pub(crate) outcome: AttemptOutcome,
     /// When the attempt ends.
     pub(crate) at: Timestamp,
--- a/crates/simulation/src/build_behavior.rs
+++ b/crates/simulation/src/build_behavior.rs
@@ -26,7 +26,7 @@
     CostFactor(f64),
     /// Requests on one route fail.
     FailsOnRoute {
-        /// The route.
+        /// The route whose requests fail.
         route: RouteIndex,
         /// Probability that a request on the route fails.
         probability: f64,
@@ -51,7 +51,7 @@
     SlowsFleet(f64),
     /// Requests fail at endpoints of one hardware class.
     FailsOnHardware {
-        /// The hardware class.
+        /// The hardware class of the endpoints at which requests fail.
         hardware_class: HardwareClassIndex,
         /// Probability that a request fails there.
         probability: f64,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -47,7 +47,6 @@
 pub(crate) struct ClientRequest {
     /// The instance that received it.
     pub(crate) instance: InstanceIndex,
-    /// Its route.
     pub(crate) route: RouteIndex,
     /// When it arrived.
     pub(crate) arrived_at: Timestamp,
@@ -63,7 +62,6 @@
 
 /// The state of a request after one of its attempts has ended.
 pub(crate) struct RequestProgress {
-    /// The request.
     pub(crate) request: ClientRequest,
     /// Whether this attempt produced the answer to the request.
     pub(crate) answers_request: bool,
@@ -75,7 +73,6 @@
 pub(crate) struct PlannedRetry {
     /// The instance that will receive it.
     pub(crate) instance: InstanceIndex,
-    /// Its route.
     pub(crate) route: RouteIndex,
     /// Delay until the retry is sent.
     pub(crate) after: Duration,
--- a/crates/simulation/src/confounder.rs
+++ b/crates/simulation/src/confounder.rs
@@ -72,7 +72,6 @@
 const LOST_ZONE: ZoneIndex = ZoneIndex::new(0);
 /// Time from the start of one stall to the start of the next.
 const STALL_INTERVAL: Duration = Duration::from_secs(3);
-/// Duration of a stall.
 const STALL_DURATION: Duration = Duration::from_millis(400);
 
 /// Range of random start times, in seconds from the trial's start.
--- a/crates/simulation/src/decisions.rs
+++ b/crates/simulation/src/decisions.rs
@@ -27,7 +27,6 @@
 }
 
 impl<'a, 'env> InstanceDecisionSink<'a, 'env> {
-    /// Creates a sink for the decisions of an instance.
     pub(crate) fn new(
         environment: &'a RefCell<&'env mut Environment>,
         instance: InstanceIndex,
@@ -45,7 +44,6 @@
         self.instance
     }
 
-    /// Returns the endpoint with this name.
     pub(crate) fn endpoint_id(&self, name: &str) -> EndpointId {
         self.environment.borrow().fleet.id_of(name)
     }
--- a/crates/simulation/src/endpoint.rs
+++ b/crates/simulation/src/endpoint.rs
@@ -24,7 +24,6 @@
 }
 
 impl Impairment {
-    /// No impairment.
     pub(crate) const NONE: Impairment = Impairment {
         slowdown: 1.0,
         failure_probability: 0.0,
@@ -32,7 +31,6 @@
     };
 }
 
-/// The cost of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RequestCost {
     /// Cost under the baseline.
@@ -70,7 +68,6 @@
     pub(crate) hardware_class: HardwareClassIndex,
 }
 
-/// A simulated endpoint.
 pub(crate) struct SimulatedEndpoint {
     /// Name in the endpoint list.
     pub(crate) name: String,
@@ -83,7 +80,6 @@
     pub(crate) started_at: Option<Timestamp>,
     /// State in the endpoint list, once the endpoint is listed.
     pub(crate) state: EndpointState,
-    /// Current impairment.
     pub(crate) impairment: Impairment,
     /// When each core becomes free.
     cores_free_at: Vec<Timestamp>,
@@ -112,7 +108,6 @@
         }
     }
 
-    /// Returns the endpoint's hardware model.
     pub(crate) fn hardware(&self) -> &'static HardwareModel {
         &HARDWARE[self.placement.hardware_class.get()]
     }
@@ -122,7 +117,6 @@
         self.build == CANDIDATE_BUILD
     }
 
-    /// Returns whether the endpoint has been removed.
     pub(crate) fn is_removed(&self) -> bool {
         self.state == EndpointState::Removed
     }
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -28,9 +28,7 @@
 
 /// A notification for one instance, which handles it in its next step.
 pub(crate) struct InstanceEvent {
-    /// The instance.
     pub(crate) instance: InstanceIndex,
-    /// The notification.
     pub(crate) notification: Notification,
 }
 
@@ -66,7 +64,6 @@
     pub(crate) attempt: AttemptId,
     /// The endpoint that it was sent to.
     pub(crate) endpoint: EndpointId,
-    /// Outcome of the attempt.
     pub(crate) outcome: AttemptOutcome,
     /// When the attempt was sent.
     pub(crate) sent_at: Timestamp,
@@ -116,7 +113,6 @@
 pub(crate) struct HealthCheckFinished {
     /// The endpoint that was checked.
     pub(crate) endpoint: EndpointId,
-    /// Outcome of the health check.
     pub(crate) outcome: AttemptOutcome,
 }
 
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -14,7 +14,6 @@
 pub(crate) struct Replacement {
     /// The slot that the endpoint takes over.
     pub(crate) slot: SlotIndex,
-    /// The new endpoint.
     pub(crate) endpoint: EndpointId,
     /// When the endpoint has started.
     pub(crate) ready_at: Timestamp,
@@ -59,12 +58,10 @@
         }
     }
 
-    /// Returns the endpoint with this id.
     pub(crate) fn endpoint(&self, id: EndpointId) -> &SimulatedEndpoint {
         &self.endpoints[id.get()]
     }
 
-    /// Returns the endpoint with this id for modification.
     pub(crate) fn endpoint_mut(&mut self, id: EndpointId) -> &mut SimulatedEndpoint {
         &mut self.endpoints[id.get()]
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,7 +6,7 @@
 //! I/O.
 //!
 //! Invariants:
-//! - The same case gives a bit-identical outcome on every run and on every machine.
+//! - The same case gives a bit-identical outcome on every run and on every host.
 //! - Each part of the model draws from its own [`random_stream`]. Two cases that differ only in the
 //!   behavior of the build therefore run identically until that build is offered, and can be
 //!   compared as a pair.
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Notifies every instance of a change of an endpoint, each after its own delay. An instance
-    /// receives the endpoint's entry as it is at the end of the delay.
+    /// Notifies every instance of a change of an endpoint, each after its own delay. The
+    /// notification contains the endpoint's entry at the time of its arrival.
     pub(crate) fn list_endpoint(&mut self, now: Timestamp, endpoint: EndpointId) {
         for instance in (0..self.instances).map(InstanceIndex::new) {
             let at = now + self.delays.uniform_duration(DISCOVERY_DELAY);
--- a/crates/simulation/src/parameters.rs
+++ b/crates/simulation/src/parameters.rs
@@ -53,7 +53,6 @@
         endpoint_share: 1.0,
     },
 ];
-/// The last stage.
 pub(crate) const LAST_STAGE: StageIndex = StageIndex::new(STAGES.len() as u32 - 1);
 
 /// Time from the order of a new endpoint until it has started.
@@ -82,7 +81,6 @@
 /// Time for which a client waits for an answer.
 pub(crate) const REQUEST_DEADLINE: Duration = Duration::from_secs(2);
 
-/// Model of a route.
 pub(crate) struct RouteModel {
     /// An answer counts as served only if it arrives within this time.
     pub(crate) latency_objective: Duration,
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -14,7 +14,6 @@
 /// effect.
 const VOTES_PER_SECOND_AND_INSTANCE: usize = 16;
 
-/// Returns the settings of an instance.
 pub(crate) fn instance_settings(case: TrialCase, instance: InstanceIndex) -> Settings {
     let size = case.size;
     let strict = case.profile == SettingsProfile::Strict;
@@ -55,12 +54,10 @@
     }
 }
 
-/// Returns the name of a zone.
 pub(crate) fn zone_name(zone: ZoneIndex) -> String {
     format!("z{}", zone.get())
 }
 
-/// Returns the name of a hardware class.
 pub(crate) fn hardware_class_name(hardware_class: HardwareClassIndex) -> String {
     format!("k{hardware_class}")
 }
