--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -2,7 +2,7 @@
 //! length. I/O happens only through the `Read` or `Write` that the caller passes in.
 //!
 //! Reading stops when the pool is exhausted. Writing may exceed the capacity of the pool: a request
-//! that was read must be answered, or its buffers would never be returned. Buffers beyond the
+//! that was read must get a response, or its buffers would never be returned. Buffers beyond the
 //! capacity are counted while they are in use, and freed when they are returned.
 
 use std::cell::RefCell;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// Size of a buffer in bytes.
-pub const BUFFER_SIZE: usize = 16 * 1024;
+pub const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Maximum number of buffers written by one system call.
 const MAX_WRITE_SLICES: usize = 16;
@@ -56,7 +56,7 @@
         let bytes = state
             .free
             .pop()
-            .unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
+            .unwrap_or_else(|| vec![0; BUFFER_BYTES].into_boxed_slice());
         Buffer {
             bytes,
             start: 0,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Number of bytes in the chain.
+    /// Returns the number of bytes in the chain.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -138,7 +138,7 @@
     fn is_last_buffer_full(&self) -> bool {
         self.buffers
             .back()
-            .is_none_or(|last| last.end == BUFFER_SIZE)
+            .is_none_or(|last| last.end == BUFFER_BYTES)
     }
 
     /// Appends bytes, even if the pool is exhausted.
@@ -150,7 +150,7 @@
             let Some(last) = self.buffers.back_mut() else {
                 return;
             };
-            let count = bytes.len().min(BUFFER_SIZE - last.end);
+            let count = bytes.len().min(BUFFER_BYTES - last.end);
             let (fitting, rest) = bytes.split_at(count);
             last.unfilled()[..count].copy_from_slice(fitting);
             last.end += count;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The contiguous parts of a byte range, in order. A range beyond the end is truncated.
+    /// Returns the contiguous parts of a byte range, in order. A range beyond the end is truncated.
     pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let mut offset = 0;
         self.buffers.iter().filter_map(move |buffer| {
@@ -198,12 +198,12 @@
         self.skip(count);
     }
 
-    /// Reads until the chain holds at least `wanted` bytes.
+    /// Reads until the chain holds at least `wanted_bytes`.
     ///
     /// # Errors
     /// Any error of `from` except `Interrupted` and `WouldBlock`.
-    pub fn fill(&mut self, from: &mut impl Read, wanted: usize) -> io::Result<FillStatus> {
-        while self.len < wanted {
+    pub fn fill(&mut self, from: &mut impl Read, wanted_bytes: usize) -> io::Result<FillStatus> {
+        while self.len < wanted_bytes {
             if self.is_last_buffer_full() {
                 if self.pool.is_exhausted() {
                     return Ok(FillStatus::PoolExhausted);
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -4,23 +4,24 @@
 
 use super::arrivals::Arrivals;
 use super::stages::Stage;
-use crate::buffers::{BUFFER_SIZE, Pool};
+use crate::buffers::{BUFFER_BYTES, Pool};
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
-/// Bytes read ahead while a request is pending. Also the limit on unwritten output, at which no
-/// further message of a client that sends without reading is handled.
-const READ_AHEAD: usize = BUFFER_SIZE;
-/// Bytes read ahead while more than half of the buffers are free. A request's time limit counts
-/// from when it is read, so that reading early measures its arrival more precisely.
-const EXTENDED_READ_AHEAD: usize = 16 * BUFFER_SIZE;
+/// Size of the input up to which a connection is read ahead, for example while a request is
+/// pending. Also the limit on unwritten output: at this size no further message is handled, because
+/// the client sends requests without reading the responses.
+const READ_AHEAD_BYTES: usize = BUFFER_BYTES;
+/// Size of the input up to which a connection is read ahead while more than half of the buffers are
+/// free. A request's time limit counts from when it is read, so that reading early measures its
+/// arrival more precisely.
+const EXTENDED_READ_AHEAD_BYTES: usize = 16 * BUFFER_BYTES;
 /// Bytes discarded after an error without waiting for another readiness event. Closing a socket
 /// with unread input resets the connection, and the client could not read the error.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Limit on the bytes discarded in one event-loop iteration.
 const DISCARDED_BYTES_PER_ITERATION: usize = MAX_DISCARDED_BYTES / 4;
 
-/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
     /// Waits for the startup message.
@@ -38,18 +39,14 @@
     /// An extended query was rejected; its remaining messages up to Sync are skipped.
     SkippingToSync,
     /// Waits for the response to a request; later messages are handled after that.
-    AwaitingResponse {
-        /// The request.
-        request: RequestId,
-    },
+    AwaitingResponse { request: RequestId },
     /// Closes once the output is written and the client has finished sending. Input is discarded.
     Closing {
         /// Bytes discarded so far.
-        discarded: usize,
+        discarded_bytes: usize,
     },
 }
 
-/// One client connection.
 pub(super) struct ClientConnection {
     pub(super) connection: Connection,
     pub(super) state: ClientState,
@@ -67,7 +64,7 @@
         }
     }
 
-    /// The stage, derived from the state and the buffers.
+    /// Returns the stage, derived from the state and the buffers.
     pub(super) fn stage(&self) -> Stage {
         let has_unwritten = !self.connection.output.is_empty();
         let has_unused = !self.connection.input.is_empty();
@@ -86,7 +83,7 @@
         matches!(self.state, ClientState::Closing { .. })
     }
 
-    /// The request whose response the client waits for.
+    /// Returns the request whose response the client waits for, or `None` if it waits for none.
     pub(super) fn pending_request(&self) -> Option<RequestId> {
         match self.state {
             ClientState::AwaitingResponse { request } => Some(request),
@@ -113,7 +110,7 @@
     /// client that sends requests without reading responses.
     pub(super) fn accepts_messages(&self) -> bool {
         let is_awaiting = self.pending_request().is_some();
-        !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD
+        !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD_BYTES
     }
 
     fn is_open(&self) -> bool {
@@ -129,13 +126,13 @@
         self.connection.may_be_readable() || self.is_open() && next() != Ok(None)
     }
 
-    /// The number of input bytes to read: the complete next message if it can be handled, otherwise
-    /// only the read-ahead.
+    /// Returns the number of input bytes to read: the complete next message if it can be handled,
+    /// otherwise only the read-ahead.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_mostly_free() {
-            EXTENDED_READ_AHEAD
+            EXTENDED_READ_AHEAD_BYTES
         } else {
-            READ_AHEAD
+            READ_AHEAD_BYTES
         };
         if !self.is_open() || !self.accepts_messages() {
             return read_ahead;
@@ -152,7 +149,7 @@
         let Connection { input, output, .. } = &mut self.connection;
         postgres::put_error(output, Severity::Fatal, code, reason, "");
         input.skip(input.len());
-        self.state = ClientState::Closing { discarded: 0 };
+        self.state = ClientState::Closing { discarded_bytes: 0 };
     }
 
     /// Discards the input of a closing connection. Returns whether the client has finished sending,
@@ -161,23 +158,23 @@
         if !self.connection.output.is_empty() {
             return false;
         }
-        let ClientState::Closing { discarded } = &mut self.state else {
+        let ClientState::Closing { discarded_bytes } = &mut self.state else {
             return false;
         };
         // Beyond the total limit, each readiness event discards one more part.
-        let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded) {
+        let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded_bytes) {
             Some(remaining) => remaining.min(DISCARDED_BYTES_PER_ITERATION),
             None => DISCARDED_BYTES_PER_ITERATION,
         };
         let result = self.connection.discard(limit);
-        *discarded += result.bytes;
+        *discarded_bytes += result.bytes;
         result.ended
     }
 
     /// Whether there is more to discard without waiting for a readiness event.
     pub(super) fn has_more_to_discard(&self) -> bool {
         let is_within_limit = match self.state {
-            ClientState::Closing { discarded } => discarded < MAX_DISCARDED_BYTES,
+            ClientState::Closing { discarded_bytes } => discarded_bytes < MAX_DISCARDED_BYTES,
             _ => false,
         };
         is_within_limit && self.connection.may_be_readable()
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -17,8 +17,8 @@
 /// The Linux error code for a non-blocking connect that is in progress. The standard library has an
 /// `ErrorKind` for it only on newer toolchains.
 const EINPROGRESS: i32 = 115;
-/// Maximum number of bytes read by one system call when input is discarded.
-const DISCARD_SIZE: usize = 16 * 1024;
+/// Size of the buffer into which discarded input is read, and so the maximum per system call.
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The result of discarding input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,17 +98,17 @@
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Reads until the input holds at least `wanted` bytes.
+    /// Reads until the input holds at least `wanted_bytes`.
     ///
     /// # Errors
     /// The connection failed.
-    pub fn read(&mut self, wanted: usize) -> io::Result<FillStatus> {
+    pub fn read(&mut self, wanted_bytes: usize) -> io::Result<FillStatus> {
         if !self.readable {
             return Ok(FillStatus::WouldBlock);
         }
-        let fill = self.input.fill(&mut &*self.socket, wanted)?;
-        self.readable = matches!(fill, FillStatus::Complete | FillStatus::PoolExhausted);
-        Ok(fill)
+        let status = self.input.fill(&mut &*self.socket, wanted_bytes)?;
+        self.readable = matches!(status, FillStatus::Complete | FillStatus::PoolExhausted);
+        Ok(status)
     }
 
     /// Whether there may be more to read that the event loop will not report again.
@@ -122,12 +122,12 @@
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Discards the input, then reads and discards about `limit` more bytes.
-    pub fn discard(&mut self, limit: usize) -> Discarded {
+    /// Discards the input, then reads and discards about `max_bytes` more.
+    pub fn discard(&mut self, max_bytes: usize) -> Discarded {
         self.input.skip(self.input.len());
-        let mut scratch = [0; DISCARD_SIZE];
+        let mut scratch = [0; DISCARD_BUFFER_BYTES];
         let mut bytes = 0;
-        while self.readable && bytes < limit {
+        while self.readable && bytes < max_bytes {
             match (&*self.socket).read(&mut scratch) {
                 Ok(0) => return Discarded { bytes, ended: true },
                 Ok(count) => bytes += count,
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -37,7 +37,7 @@
 pub use restore::restore;
 
 /// Priority of the snapshot job, which is the only job of the scheduler.
-const PRIORITY: u8 = 1;
+const SNAPSHOT_JOB_PRIORITY: u8 = 1;
 
 /// The outcome of the last of the writes that
 /// [`wait_for_last_result`](SnapshotWriter::wait_for_last_result) has waited for.
@@ -65,7 +65,7 @@
 impl SnapshotWriter {
     /// Locks the directory and starts the thread. Returns the writer and the newest complete
     /// snapshot. If the directory cannot be locked or the thread cannot be started, logs the error
-    /// and returns `None`; the instance then serves without snapshots.
+    /// and returns `None`; the instance then runs without snapshots.
     pub fn open(
         settings: &SnapshotSettings,
         now: Timestamp,
@@ -95,7 +95,7 @@
         };
         let interval = settings.write_interval;
         let mut scheduler = Scheduler::new(budgets, now);
-        let job = scheduler.add(PRIORITY, now + interval, interval);
+        let job = scheduler.add(SNAPSHOT_JOB_PRIORITY, now + interval, interval);
         let writer = SnapshotWriter {
             scheduler,
             job,
@@ -132,7 +132,7 @@
         self.scheduler.record_time(duration, now);
     }
 
-    /// The time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
+    /// Returns the time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.scheduler.next_wake_up(now)
     }
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -82,8 +82,8 @@
 }
 
 impl AttemptError {
-    /// The outcome that the policy is notified of. Only a request that was written completely may
-    /// have been executed.
+    /// Returns the outcome that the policy is notified of. Only a request that was written
+    /// completely may have been executed.
     pub fn outcome(&self) -> AttemptOutcome {
         match (self.progress, &self.cause) {
             (_, AttemptErrorCause::Cancelled) => AttemptOutcome::Cancelled,
@@ -91,7 +91,7 @@
                 AttemptOutcome::Refused
             }
             (RequestProgress::Written, AttemptErrorCause::TimedOut) => AttemptOutcome::TimedOut,
-            // The endpoint is alive, as it has sent something, but nothing valid.
+            // The endpoint has responded, but not with a valid response.
             (RequestProgress::Written, AttemptErrorCause::Malformed(_)) => {
                 AttemptOutcome::Malformed
             }
@@ -103,7 +103,7 @@
     }
 }
 
-/// The outcome of an attempt whose response is an error with this SQLSTATE.
+/// Returns the outcome of an attempt whose response is an error with this SQLSTATE.
 pub fn outcome_of_sqlstate(code: &str) -> AttemptOutcome {
     // These errors are caused by the request: any other endpoint would return them as well.
     let is_invalid_request = code.starts_with(sqlstate::DATA_EXCEPTION_CLASS)
@@ -115,7 +115,7 @@
     }
 }
 
-/// Whether endpoints are known to use this SQLSTATE.
+/// Whether this SQLSTATE is one of those that endpoints are expected to send.
 pub(super) fn is_known_sqlstate(code: &str) -> bool {
     matches!(
         code,
