--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoint::{Placement, SimulatedEndpoint};
 use crate::ids::{EndpointId, SlotIndex, ZoneIndex};
-use crate::parameters::{BASELINE_BUILD, BOOT_TIME, ZONES};
+use crate::parameters::{BASELINE_BUILD, BOOT_TIME, ZONE_COUNT};
 use crate::random_stream::RandomStream;
 
 /// A new endpoint that takes over a slot once it has started.
@@ -14,7 +14,6 @@
 pub(crate) struct Replacement {
     /// The slot that the endpoint takes over.
     pub(crate) slot: SlotIndex,
-    /// The new endpoint.
     pub(crate) endpoint: EndpointId,
     /// When the endpoint has started.
     pub(crate) ready_at: Timestamp,
@@ -59,12 +58,10 @@
         }
     }
 
-    /// Returns the endpoint with this id.
     pub(crate) fn endpoint(&self, id: EndpointId) -> &SimulatedEndpoint {
         &self.endpoints[id.get()]
     }
 
-    /// Returns the endpoint with this id for modification.
     pub(crate) fn endpoint_mut(&mut self, id: EndpointId) -> &mut SimulatedEndpoint {
         &mut self.endpoints[id.get()]
     }
@@ -165,7 +162,7 @@
 /// to the first hardware class.
 fn initial_endpoint(id: EndpointId) -> SimulatedEndpoint {
     let placement = Placement {
-        zone: ZoneIndex::new(id.get() % ZONES),
+        zone: ZoneIndex::new(id.get() % ZONE_COUNT),
         hardware_class: HardwareClassIndex::new(usize::from(id.get() % 5 > 2)),
     };
     SimulatedEndpoint::new(format!("a{}", id.get()), placement, BASELINE_BUILD, None)
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -7,21 +7,20 @@
 
 use crate::case::{SettingsProfile, TrialCase};
 use crate::ids::{InstanceIndex, ZoneIndex};
-use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONES};
+use crate::parameters::{ROUTES, STAGES, VOTE_LIFETIME, WARM_UP_START, WARM_UP_TIME, ZONE_COUNT};
 use crate::rollout::rollback_votes;
 
 /// Limit on votes per second for each instance. No instance casts as many, so the limit never takes
 /// effect.
 const VOTES_PER_SECOND_AND_INSTANCE: usize = 16;
 
-/// Returns the settings of an instance.
 pub(crate) fn instance_settings(case: TrialCase, instance: InstanceIndex) -> Settings {
     let size = case.size;
     let strict = case.profile == SettingsProfile::Strict;
     Settings {
         instance_index: instance.get() as u32,
         instance_count: size.instances as u32,
-        zone: zone_name(ZoneIndex::new(instance.get() % ZONES)),
+        zone: zone_name(ZoneIndex::new(instance.get() % ZONE_COUNT)),
         routes: routes(),
         poll_endpoints: strict,
         max_poll_interval: if strict {
@@ -55,12 +54,10 @@
     }
 }
 
-/// Returns the name of a zone.
 pub(crate) fn zone_name(zone: ZoneIndex) -> String {
     format!("z{}", zone.get())
 }
 
-/// Returns the name of a hardware class.
 pub(crate) fn hardware_class_name(hardware_class: HardwareClassIndex) -> String {
     format!("k{hardware_class}")
 }
