--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -56,7 +56,7 @@
 }
 
 /// A request, and whether it is finished.
-struct OpenRequest {
+struct TrackedRequest {
     request: ClientRequest,
     finished: bool,
 }
@@ -87,7 +87,7 @@
     /// Requests per second, by [`InstanceIndex`].
     rates: Vec<f64>,
     /// Recent requests; old ones are removed by [`Clients::remove_expired`].
-    requests: BTreeMap<RequestId, OpenRequest>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
 }
 
 impl Clients {
@@ -154,16 +154,16 @@
 
     /// Records a new request.
     pub(crate) fn insert(&mut self, id: RequestId, request: ClientRequest) {
-        let open = OpenRequest {
+        let tracked = TrackedRequest {
             request,
             finished: false,
         };
-        self.requests.insert(id, open);
+        self.requests.insert(id, tracked);
     }
 
     /// Returns the route of a request, or `None` if the request has been removed.
     pub(crate) fn route_of(&self, id: RequestId) -> Option<RouteIndex> {
-        self.requests.get(&id).map(|open| open.request.route)
+        self.requests.get(&id).map(|tracked| tracked.request.route)
     }
 
     /// Records the end of an attempt. Returns `None` if the request has been removed.
@@ -172,22 +172,22 @@
         id: RequestId,
         succeeded: bool,
     ) -> Option<RequestProgress> {
-        let open = self.requests.get_mut(&id)?;
-        let answers_request = succeeded && !open.finished;
-        open.finished |= succeeded;
+        let tracked = self.requests.get_mut(&id)?;
+        let answers_request = succeeded && !tracked.finished;
+        tracked.finished |= succeeded;
         Some(RequestProgress {
-            request: open.request,
+            request: tracked.request,
             answers_request,
-            request_finished: open.finished,
+            request_finished: tracked.finished,
         })
     }
 
     /// Finishes a request without an answer, and returns the retry if the client sends one. Clients
     /// retry a request at most once, and only where that is safe.
     pub(crate) fn finish_unanswered(&mut self, id: RequestId) -> Option<PlannedRetry> {
-        let open = self.requests.get_mut(&id)?;
-        open.finished = true;
-        let request = open.request;
+        let tracked = self.requests.get_mut(&id)?;
+        tracked.finished = true;
+        let request = tracked.request;
         let route = &ROUTES[request.route.get()];
         let retry_is_safe = route.idempotency != Idempotency::NotIdempotent;
         if request.is_retry || !retry_is_safe || !self.random.bernoulli(RETRY_SHARE) {
@@ -204,7 +204,7 @@
     pub(crate) fn remove_expired(&mut self, now: Timestamp) {
         let retention = REQUEST_DEADLINE * RETENTION_DEADLINES;
         self.requests
-            .retain(|_, open| now < open.request.arrived_at + retention);
+            .retain(|_, tracked| now < tracked.request.arrived_at + retention);
     }
 }
 
--- a/crates/simulation/src/environment.rs
+++ b/crates/simulation/src/environment.rs
@@ -144,7 +144,7 @@
 
     /// Records a request from a client and returns its id. Retries do not add to the offered
     /// weight.
-    pub(crate) fn open_request(&mut self, request: ClientRequest) -> RequestId {
+    pub(crate) fn record_request(&mut self, request: ClientRequest) -> RequestId {
         let id = self.network.queue.next_request_id();
         if !request.is_retry {
             let weight = ROUTES[request.route.get()].priority_weight;
