--- a/crates/simulation/src/case.rs
+++ b/crates/simulation/src/case.rs
@@ -64,7 +64,7 @@
 }
 
 /// Configuration of one trial. Trials that differ only in `build` form a pair: they run identically
-/// until the build is offered.
+/// until the rollout of the build starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrialCase {
     /// Seed of all random streams of the trial.
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -21,7 +21,7 @@
 /// The most expensive route, whose share of the traffic
 /// [`Confounder::HeavyRoute`](crate::confounder::Confounder::HeavyRoute) increases.
 const HEAVY_ROUTE: RouteIndex = RouteIndex::new(0);
-/// Fraction of all requests that the confounder redirects to it.
+/// Fraction of all requests that the confounder redirects to [`HEAVY_ROUTE`].
 const HEAVY_ROUTE_SHARE: f64 = 0.25;
 /// Probability that a client retries a failed request once, if a retry is safe.
 const RETRY_SHARE: f64 = 0.6;
--- a/crates/simulation/src/confounder.rs
+++ b/crates/simulation/src/confounder.rs
@@ -27,7 +27,7 @@
     Burst,
     /// Clients send a larger share of requests on the most expensive route.
     HeavyRoute,
-    /// All endpoints of one zone are unresponsive.
+    /// All endpoints of one zone, and sometimes a few others, are unresponsive.
     LostZone,
     /// One instance is repeatedly descheduled for a short time, and then handles the events of that
     /// time in a single step.
@@ -62,11 +62,12 @@
     }
 }
 
-/// Range of the maximum fraction of endpoints that are impaired.
+/// Range of the upper limit on the share of impaired endpoints.
 const IMPAIRED_SHARE: Range<f64> = 0.08..0.25;
-/// Lower bound of the limit on the number of impaired endpoints.
+/// In a small fleet, at most this number of endpoints is impaired.
 const SMALL_FLEET_IMPAIRED_LIMIT: usize = 3;
-/// In a large fleet, at most one in this number of endpoints is impaired.
+/// In a large fleet, at most one in this number of endpoints is impaired. The higher one of the two
+/// limits applies.
 const ENDPOINTS_PER_IMPAIRED: usize = 8;
 /// The zone that becomes unresponsive under [`Confounder::LostZone`].
 const LOST_ZONE: ZoneIndex = ZoneIndex::new(0);
@@ -140,6 +141,8 @@
         }
     }
 
+    /// Selects random endpoints up to the limits. Under [`Confounder::LostZone`], all endpoints of
+    /// the lost zone are selected regardless of the limits.
     fn select_impaired(&mut self, fleet: &Fleet, random: &mut RandomStream) {
         let share = random.uniform_in(IMPAIRED_SHARE);
         let slots = fleet.slots();
--- a/crates/simulation/src/decisions.rs
+++ b/crates/simulation/src/decisions.rs
@@ -45,7 +45,7 @@
         self.instance
     }
 
-    /// Returns the endpoint with this name.
+    /// Returns the id of the endpoint with this name.
     pub(crate) fn endpoint_id(&self, name: &str) -> EndpointId {
         self.environment.borrow().fleet.id_of(name)
     }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -69,7 +69,7 @@
         &mut self.endpoints[id.get()]
     }
 
-    /// Returns the endpoint with this name. The name must have been in the endpoint list.
+    /// Returns the id of the endpoint with this name. The name must have been in the endpoint list.
     pub(crate) fn id_of(&self, name: &str) -> EndpointId {
         self.ids_by_name[name]
     }
@@ -120,7 +120,7 @@
         candidates as f64 / self.slots.len() as f64
     }
 
-    /// Orders a new endpoint with the placement of the one in the slot, which runs this build.
+    /// Orders a new endpoint that runs this build and has the placement of the one in the slot.
     pub(crate) fn order_replacement(
         &mut self,
         slot: SlotIndex,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,8 +8,8 @@
 //! Invariants:
 //! - The same case gives a bit-identical outcome on every run and on every machine.
 //! - Each part of the model draws from its own [`random_stream`]. Two cases that differ only in the
-//!   behavior of the build therefore run identically until that build is offered, and can be
-//!   compared as a pair.
+//!   behavior of the build therefore run identically until the rollout of that build starts, and
+//!   can be compared as a pair.
 //! - All parameter ranges are assumptions of this model; none was measured in a deployment.
 //!
 //! Modules, lowest layer first; each imports only from those above it:
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -53,9 +53,9 @@
 /// The result of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrialOutcome {
-    /// Time from the offer of the build to its rollback; `None` if it was not rolled back.
+    /// Time from the start of the rollout until the build was rolled back; `None` if it was not.
     pub rolled_back_after: Option<Duration>,
-    /// Time from the offer of the build to its release; `None` if it was not released.
+    /// Time from the start of the rollout until the build was released; `None` if it was not.
     pub released_after: Option<Duration>,
     /// Served and offered weight by the second in which the request arrived, counted from the
     /// trial's start.
--- a/crates/simulation/src/parameters.rs
+++ b/crates/simulation/src/parameters.rs
@@ -20,8 +20,8 @@
 /// The build that is rolled out during the trial.
 pub(crate) const CANDIDATE_BUILD: BuildNumber = BuildNumber::new(2);
 
-/// Time from the start of a trial until the candidate is offered. During this time the instances
-/// learn the baseline's statistics.
+/// Time from the start of a trial until the rollout of the candidate starts. During this time the
+/// instances learn the baseline's statistics.
 const TIME_BEFORE_ROLLOUT: Duration = Duration::from_secs(8);
 /// Duration of a stage, excluding the time for which votes hold it.
 pub(crate) const STAGE_TIME: Duration = Duration::from_secs(4);
@@ -151,7 +151,7 @@
     },
 ];
 
-/// Returns the time at which the candidate is offered.
+/// Returns the time at which the rollout of the candidate starts.
 pub(crate) fn rollout_starts_at() -> Timestamp {
     START + TIME_BEFORE_ROLLOUT
 }
--- a/crates/simulation/src/rollout.rs
+++ b/crates/simulation/src/rollout.rs
@@ -55,8 +55,7 @@
     }
 }
 
-/// The rollout of the candidate. Until the candidate is offered, the newest build is the released
-/// baseline.
+/// The rollout of the candidate. Until it starts, the newest build is the released baseline.
 pub(crate) struct Rollout {
     trigger: RollbackTrigger,
     stage: StageIndex,
@@ -76,7 +75,7 @@
 }
 
 impl Rollout {
-    /// Creates the rollout at a time at which only the baseline serves.
+    /// Creates the state before the rollout starts, while only the baseline serves.
     pub(crate) fn new(size: FleetSize, trigger: RollbackTrigger) -> Rollout {
         Rollout {
             trigger,
@@ -94,12 +93,14 @@
         }
     }
 
-    /// Returns the time from the offer to the rollback.
+    /// Returns the time from the start of the rollout until the candidate was rolled back, or
+    /// `None` if it was not.
     pub(crate) fn rolled_back_after(&self) -> Option<Duration> {
         self.rolled_back_after
     }
 
-    /// Returns the time from the offer to the release.
+    /// Returns the time from the start of the rollout until the candidate was released, or
+    /// `None` if it was not.
     pub(crate) fn released_after(&self) -> Option<Duration> {
         self.released_after
     }
@@ -258,7 +259,7 @@
     }
 }
 
-/// Returns the newest build that has been offered.
+/// Returns the newest build: the candidate once its rollout has started, before that the baseline.
 fn newest_build(now: Timestamp) -> BuildNumber {
     if now < rollout_starts_at() {
         BASELINE_BUILD
--- a/crates/simulation/tests/trials.rs
+++ b/crates/simulation/tests/trials.rs
@@ -15,7 +15,7 @@
 const BUILD_STREAM: u64 = 9;
 /// An idempotent route.
 const IDEMPOTENT_ROUTE: RouteIndex = RouteIndex::new(0);
-/// Seconds from the trial's start until the candidate is offered.
+/// Seconds from the trial's start until the rollout of the candidate starts.
 const SECONDS_BEFORE_ROLLOUT: usize = 8;
 /// In trials without votes, the candidate is released and serves at all endpoints from this second
 /// on.
@@ -94,7 +94,7 @@
     for build in bad_builds() {
         let bad = run_without_votes(build);
 
-        // Paired trials are identical until the build is offered.
+        // Paired trials are identical until the rollout of the build starts.
         assert_eq!(
             bad.served_by_second[..SECONDS_BEFORE_ROLLOUT],
             good.served_by_second[..SECONDS_BEFORE_ROLLOUT],
