--- a/crates/policy/tests/policy/exposure.rs
+++ b/crates/policy/tests/policy/exposure.rs
@@ -190,8 +190,8 @@
     assert_eq!(attempts_after_cap_change(0.5), 0);
 }
 
-/// Returns whether an attempt at a canary that was started under a cap of 0.1 may still be written
-/// after the cap has changed to `traffic_cap`.
+/// Starts an attempt at a canary under a cap of 0.1 and changes the cap to `traffic_cap` before the
+/// connection is established. Returns whether the request may still be written to the connection.
 fn may_write_under_cap(traffic_cap: f64) -> bool {
     let mut instance = instance_during_canary(0.1, 1);
     instance.may_write_after(millis(10), attempt_id(0, 0), |policy| {
@@ -205,8 +205,9 @@
     assert!(!may_write_under_cap(0.0));
 }
 
-/// Returns the number of attempts started for two requests 4.01 s after the start of two earlier
-/// attempts, the second of which was written `written_after` its start.
+/// Starts two attempts, of which the request of the second is written to its connection only
+/// `written_after` the start. Returns the number of attempts started for two more requests 4.01 s
+/// after that start.
 fn attempts_after_late_write(written_after: Duration) -> usize {
     let mut instance = instance_during_canary(0.1, 2);
     assert!(instance.may_write_after(written_after, attempt_id(1, 0), |_| {}));
@@ -223,8 +224,8 @@
 
 #[test]
 fn attempt_at_a_canary_counts_from_when_it_is_written() {
-    // The window of 4 s is counted from the write: the late attempt still counts, so that the
-    // allowance of two admits only one more.
+    // The window of 4 s is counted from the write of the request: the attempt that was written late
+    // still counts, so that the allowance of two admits only one more.
     assert_eq!(attempts_after_late_write(Duration::ZERO), 2);
     assert_eq!(attempts_after_late_write(millis(600)), 1);
 }
--- a/crates/policy/tests/policy/fleet_baseline.rs
+++ b/crates/policy/tests/policy/fleet_baseline.rs
@@ -90,7 +90,8 @@
         "{baseline:?}"
     );
 
-    // A rollout that begins before the fleet is steady again is compared with the same baseline.
+    // A rollout that begins before the baseline has been updated again is compared with the same
+    // baseline as the previous rollout.
     traffic.announce(CANDIDATE + 1, RolloutPhase::RollingBack);
     traffic.serve(millis(40), 3);
     traffic.announce(CANDIDATE + 2, RolloutPhase::Canary);
--- a/crates/policy/tests/policy/harness/canary_traffic.rs
+++ b/crates/policy/tests/policy/harness/canary_traffic.rs
@@ -4,8 +4,8 @@
 
 use super::{AttemptResultBuilder, Decisions, Exchange, Instance, millis};
 
-/// Traffic of fifty requests per second. A fixed share of the attempts at the candidate fails; all
-/// attempts at the baseline succeed.
+/// Traffic of fifty requests per second. A fixed share of the attempts at the candidate, whose
+/// endpoints have names that start with `n`, fails; all attempts at the baseline succeed.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryTraffic {
     failures_per_ten: u64,
--- a/crates/policy/tests/policy/harness/instance.rs
+++ b/crates/policy/tests/policy/harness/instance.rs
@@ -85,9 +85,9 @@
         decisions
     }
 
-    /// Runs one step, `after` the previous one. Returns whether, once the events have been
-    /// delivered, an attempt whose connection has been established in the meantime may still be
-    /// written.
+    /// Runs one step, `after` the previous one, in which the connection of an attempt has been
+    /// established. Returns whether, once the events have been delivered, the request may still be
+    /// written to that connection.
     pub fn may_write_after(
         &mut self,
         after: Duration,
--- a/crates/policy/tests/policy/harness/saved_state.rs
+++ b/crates/policy/tests/policy/harness/saved_state.rs
@@ -107,7 +107,7 @@
         self.endpoints.iter().filter(is_named).count()
     }
 
-    /// Returns the number of outcomes in the first test, over all endpoints and builds.
+    /// Returns the number of outcomes in the first evidence test, over all endpoints and builds.
     pub fn total_outcomes(&self) -> f64 {
         let first_test = self.outcomes.iter().map(|saved| saved.outcomes[0]);
         first_test.sum()
--- a/crates/policy/tests/policy/idempotency.rs
+++ b/crates/policy/tests/policy/idempotency.rs
@@ -138,7 +138,7 @@
 }
 
 /// Time from the first attempt until the connection of the second one is established, and whether
-/// the second one may be written then.
+/// the request may then be written to that connection.
 struct LateRetryCase {
     route: RouteIndex,
     written_after: Duration,
--- a/crates/policy/tests/policy/late_connections.rs
+++ b/crates/policy/tests/policy/late_connections.rs
@@ -1,5 +1,5 @@
-//! Late connections: an attempt is not written if, by the time its connection is established, a
-//! change since its start forbids it.
+//! Late connections: the request of an attempt is not written to its connection if a change between
+//! the start of the attempt and the establishment of the connection forbids it.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
     first_attempt, list_endpoints, millis, settings,
 };
 
-/// A change before the connection is established, and whether the attempt may still be written.
+/// A change before the connection of an attempt is established, and whether the request may still
+/// be written to it.
 struct LateConnectionCase {
     name: &'static str,
     change: fn(&mut Balancer),
--- a/crates/policy/tests/policy/rule_checker/history.rs
+++ b/crates/policy/tests/policy/rule_checker/history.rs
@@ -16,8 +16,8 @@
 };
 use crate::harness::{AttemptResultBuilder, RequestBuilder, START, millis};
 
-/// Time at the start of a history without changes to the rollout or the endpoints, during which the
-/// instance learns the endpoints' capacity.
+/// Length of the initial period of a history. Neither the rollout nor the endpoints change during
+/// it, so that the instance can learn the endpoints' capacity.
 const QUIET_TIME: Duration = Duration::from_secs(1);
 /// Period during which most requests are on the same route. Without it, limits per route and limits
 /// over all routes would hardly differ.
@@ -197,8 +197,8 @@
         self.list_endpoint(policy, index);
     }
 
-    /// Returns the newest build or the one before it. Sometimes the newest one has not been
-    /// announced yet.
+    /// Returns the newest build if the drawn `change` is 2, otherwise the one before it. In one of
+    /// eight draws, a build that has not been announced yet counts as the newest.
     fn build_of_new_process(&mut self, change: u64) -> BuildNumber {
         let is_unannounced = self.random.rand_u64().is_multiple_of(8);
         let newest = self.rollout.build.get() + u32::from(is_unannounced);
--- a/crates/policy/tests/policy/rule_checker/model.rs
+++ b/crates/policy/tests/policy/rule_checker/model.rs
@@ -17,8 +17,8 @@
 
 /// The number of simulated endpoints.
 pub const ENDPOINT_COUNT: u64 = 9;
-/// Requests per second that an endpoint can serve. A warm endpoint serves about this many of the
-/// instance's requests.
+/// Requests per second that a warm endpoint is assumed to be able to serve. In a history, each warm
+/// endpoint receives about this many.
 pub const CAPACITY_PER_SECOND: f64 = 25.0;
 
 /// An endpoint as the endpoint list describes it.
@@ -30,7 +30,7 @@
     pub state: EndpointState,
     /// When the endpoint's process started; `None` if that was long ago.
     pub started_at: Option<Timestamp>,
-    /// When the endpoint last started to drain.
+    /// When the endpoint last started to drain; [`Timestamp::ZERO`] if it has never drained.
     pub drain_started_at: Timestamp,
 }
 
--- a/crates/policy/tests/policy/sequential_test.rs
+++ b/crates/policy/tests/policy/sequential_test.rs
@@ -144,7 +144,7 @@
         test.score()
     };
 
-    // The share of failures is the same in both.
+    // Both candidates have the same share of failures.
     let on_all_endpoints = score(arm_of_endpoints([8.0; 4]));
     let on_one_endpoint = score(arm_of_endpoints([0.0, 0.0, 0.0, 32.0]));
 
--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -169,7 +169,7 @@
 }
 
 /// Sends requests with ids up to `last_id` to a fleet in which `m1` is no longer slow. Returns the
-/// share of `m1` in the attempts, leaving out those within `from` of the start.
+/// share of these requests that were sent to `m1`, without those of the time before `START + from`.
 fn share_of_restored_endpoint(ejected: bool, from: Duration, last_id: u64) -> f64 {
     let mut instance = instance_with_restored_slow_endpoint(ejected);
     let (mut attempts, mut requests) = (0, 0);
@@ -346,7 +346,7 @@
             is_held,
             "{first_second:?}"
         );
-        // The hold is released as usual, and a restored rejection alone causes no rollback vote.
+        // A restored rejection alone causes no rollback vote, even after the hold has ended.
         assert!(
             later.votes().all(|vote| vote != Vote::RollBack),
             "{later:?}"
