--- a/crates/policy/tests/policy/snapshot.rs
+++ b/crates/policy/tests/policy/snapshot.rs
@@ -169,7 +169,8 @@
 }
 
 /// Sends requests with ids up to `last_id` to a fleet in which `m1` is no longer slow. Returns the
-/// share of these requests that were sent to `m1`, without those of the time before `START + from`.
+/// share of the requests that are sent to `m1`, counting those whose result is reported at
+/// `START + from` or later.
 fn share_of_restored_endpoint(ejected: bool, from: Duration, last_id: u64) -> f64 {
     let mut instance = instance_with_restored_slow_endpoint(ejected);
     let (mut attempts, mut requests) = (0, 0);
--- a/crates/simulation/src/confounder.rs
+++ b/crates/simulation/src/confounder.rs
@@ -122,8 +122,9 @@
 
     /// Returns whether the stalled instance is descheduled now.
     pub(crate) fn stall_in_progress(&self, now: Timestamp) -> bool {
-        let into_interval = now.micros_since(self.starts_at) % whole_micros(STALL_INTERVAL);
-        self.is_active(Confounder::Stall, now) && into_interval < whole_micros(STALL_DURATION)
+        let micros_into_interval = now.micros_since(self.starts_at) % whole_micros(STALL_INTERVAL);
+        self.is_active(Confounder::Stall, now)
+            && micros_into_interval < whole_micros(STALL_DURATION)
     }
 
     /// Impairs endpoints in the tick in which the confounder starts, and restores them in the tick
