--- a/crates/proxy/tests/log_lines/capture.rs
+++ b/crates/proxy/tests/log_lines/capture.rs
@@ -24,7 +24,7 @@
         let mut pairs = KeyValuePairs::default();
         record.kv().serialize(record, &mut pairs).unwrap();
         let mut text = record.msg().to_string();
-        // slog visits the pairs from the last to the first, which is also the order in the log.
+        // slog passes the pairs in reverse order. The log prints them in that order.
         for (key, value) in pairs.0.iter().rev() {
             text += &format!(", {key}: {value}");
         }
--- a/crates/proxy/tests/log_lines/explain.rs
+++ b/crates/proxy/tests/log_lines/explain.rs
@@ -6,7 +6,7 @@
 use crate::capture::{capture, printed_line};
 use crate::cases::verdict;
 
-/// A verdict in the log format of the previous release.
+/// A verdict in the log format of an earlier release.
 const EARLIER_LINE: &str = "Dec 01 18:01:02.003 INFO verdict: to go back, aside: 2, beta: 0.2, \
     alpha: 0.05, bound: 2.77, score: 2.90, recalled: 0.00, old_outcomes: 60.00, old_hits: 1.50, \
     new_outcomes: 20.00, new_hits: 5.00, test: whole-fleet, stage: 0, build: 41";
--- a/crates/proxy/tests/loopback/client_limits.rs
+++ b/crates/proxy/tests/loopback/client_limits.rs
@@ -95,8 +95,8 @@
     }
 
     /// Checks that each client is closed at least two seconds after its response. The clients are
-    /// in the order of their responses. The idle time is measured from when the endpoint responded,
-    /// as the client's response cannot be earlier.
+    /// in the order of their responses. The idle time is measured from the endpoint's response,
+    /// which the client cannot receive any earlier.
     fn assert_closed_after_idle_time(&self, clients: [Client; 2]) {
         let closings = clients.map(|mut client| {
             thread::spawn(move || {
@@ -166,9 +166,8 @@
     thread::sleep(Duration::from_millis(300));
     let _later = open_and_send(2);
 
-    // The rest of a message may still be in transit, so no connection is closed without an error.
-    // Evicted messages get `OVERLOADED`. The others time out after 2.4 s, as they are never
-    // completed.
+    // Each connection is closed with an error, as the rest of its message may still be in transit.
+    // Evicted messages get `OVERLOADED`. The others are never completed and time out after 2.4 s.
     let responses: Vec<_> = earlier.iter_mut().map(Client::response).collect();
     let is_fatal = |response: &Response| matches!(response, Response::FatalError(_));
     assert!(responses.iter().all(is_fatal), "{responses:?}");
--- a/crates/proxy/tests/loopback/clients.rs
+++ b/crates/proxy/tests/loopback/clients.rs
@@ -186,8 +186,8 @@
 
     let scenario = move |address: SocketAddr| {
         let [mut triggering, mut other] = [(); 2].map(|()| Client::with_open_session(address));
-        // Another request is pending meanwhile. Its only time limit is its own deadline, since
-        // printing the panic's backtrace blocks the event loop.
+        // Another request is pending meanwhile. Its time limits are long, since printing the
+        // panic's backtrace blocks the event loop.
         other.send(&query("look", 2, 8000));
         wait_until("no query received", || !events.all().is_empty());
         assert_eq!(triggering.request(&query("pay", 1, 900)), Response::Closed);
--- a/crates/proxy/tests/loopback/common/configuration.rs
+++ b/crates/proxy/tests/loopback/common/configuration.rs
@@ -18,7 +18,7 @@
 ///
 /// It is not chosen by binding a socket to port 0: a child process that another test is spawning
 /// would hold a copy of the listening socket until it executes its program, and connections to the
-/// proxy could end up there, for a long time on a busy machine.
+/// proxy could end up there, for a long time on a busy host.
 fn next_proxy_address() -> SocketAddr {
     let process_id = std::process::id();
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
--- a/crates/proxy/tests/loopback/common/endpoint.rs
+++ b/crates/proxy/tests/loopback/common/endpoint.rs
@@ -134,7 +134,8 @@
     }
 }
 
-/// Serves one connection of a stand-in endpoint until it is closed.
+/// Serves one connection of a stand-in endpoint until it is closed. The result carries no
+/// information; it allows `?` in the body.
 pub fn serve_connection(
     mut stream: TcpStream,
     events: &EventLog,
--- a/crates/proxy/tests/loopback/common/endpoint_list.rs
+++ b/crates/proxy/tests/loopback/common/endpoint_list.rs
@@ -11,6 +11,7 @@
     pub id: String,
     pub address: SocketAddr,
     pub state: &'static str,
+    /// When the endpoint started, in milliseconds since the Unix epoch.
     pub started_ms: u64,
     pub build: u32,
 }
@@ -49,7 +50,7 @@
 }
 
 impl EndpointList {
-    /// The complete list in the configuration's version, with the ids `s-0`, `s-1` and so on.
+    /// The complete list with the configuration's version and the ids `s-0`, `s-1` and so on.
     pub fn of_endpoints(endpoints: &[(SocketAddr, u32)]) -> EndpointList {
         let numbered = endpoints.iter().enumerate();
         let listed = numbered.map(|(index, (address, build))| ListedEndpoint {
--- a/crates/proxy/tests/loopback/common/manual.rs
+++ b/crates/proxy/tests/loopback/common/manual.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A configuration with the endpoint as the only one.
+    /// A configuration with these servers, in which the endpoint is the only one.
     pub fn config(&self) -> ProxyConfig {
         ProxyConfig::new()
             .endpoint(self.endpoint.address())
@@ -104,8 +104,8 @@
             .platform(HttpServer::unresponsive().address)
     }
 
-    /// The same, with time limits so long that no attempt and no connection attempt times out
-    /// during a test.
+    /// The configuration of [`config`](ManualServers::config), with time limits so long that no
+    /// attempt and no connection attempt times out during a test.
     pub fn long_timeout_config(&self) -> ProxyConfig {
         self.config().connect_timeout_ms(4000).long_deadline()
     }
--- a/crates/proxy/tests/loopback/common/protocol.rs
+++ b/crates/proxy/tests/loopback/common/protocol.rs
@@ -26,7 +26,8 @@
     message(b'Z', b"I")
 }
 
-/// A response with one row, without its ReadyForQuery.
+/// A response with one row of one column, `data`, of type `bytea` (OID 17) and in binary format,
+/// without its ReadyForQuery.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let field = [
         &b"data\0"[..],
@@ -87,7 +88,8 @@
     true
 }
 
-/// Reads the next message and returns its type byte and body.
+/// Reads the next message and returns its type byte and body. Returns `None` if the stream ends or a
+/// read fails first.
 pub fn next_message(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<(u8, Vec<u8>)> {
     read_until_length(stream, bytes, 5).then_some(())?;
     let length = u32::from_be_bytes(bytes[1..5].try_into().unwrap()) as usize;
--- a/crates/proxy/tests/loopback/connecting.rs
+++ b/crates/proxy/tests/loopback/connecting.rs
@@ -1,4 +1,5 @@
-//! Changes while an attempt waits for its connection, and connections that must not be reused.
+//! Attempts that wait for their connection while the endpoint changes, the client disconnects or
+//! the idempotency window ends, and connections that must not be reused.
 
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -105,8 +106,8 @@
         let mut connecting = servers.endpoint.accept_startup();
 
         leaving.disconnect();
-        // The proxy itself responds to this, after it has observed that the other client has
-        // disconnected.
+        // The proxy itself responds to an empty statement, after it has observed that the other
+        // client has disconnected.
         assert_eq!(staying.request(&statement("")), Response::EmptyStatement);
         connecting.open_session();
         staying.send(&query("look", 2, 8000));
@@ -165,14 +166,15 @@
     let mut first = servers.endpoint.accept_session();
     assert!(first.query().is_some());
     let executed_at = Instant::now();
-    // The query may have been executed. Without ReadyForQuery the connection takes no other one.
+    // The query may have been executed. The retry needs another connection, as this one accepts no
+    // query until ReadyForQuery.
     first.send(&error("XX000"));
     let mut second = servers.endpoint.accept_startup();
 
     thread::sleep(Duration::from_millis(310).saturating_sub(executed_at.elapsed()));
     second.open_session();
 
-    // No endpoint may execute it again, so the client gets an error immediately.
+    // No endpoint may execute the query again, so the client gets an error immediately.
     assert!(client.response().is_error());
     drop(proxy);
     assert_eq!(second.query(), None);
--- a/crates/proxy/tests/loopback/discovery.rs
+++ b/crates/proxy/tests/loopback/discovery.rs
@@ -258,8 +258,8 @@
         "the stream was reopened in spite of keep-alives"
     );
 
-    // The stream is reopened later than the interval between two keep-alives, and before the six
-    // seconds have passed after which the instance has to act on the latest list.
+    // The stream is reopened later than the interval between two keep-alives, but early enough for
+    // the instance to act on the latest list within six seconds.
     let last_line_at = fixture.context.now;
     fixture.reconnect(&server);
     let idle_time = fixture.context.now - last_line_at;
--- a/crates/proxy/tests/loopback/snapshots.rs
+++ b/crates/proxy/tests/loopback/snapshots.rs
@@ -12,7 +12,7 @@
 
 /// A snapshot file of format version 1.
 const VERSION_1_FILE: &[u8] = include_bytes!("../../../snapshot/tests/version-1.memory");
-/// The output of `snapshot show --json` for it when format version 1 was current.
+/// The output of `snapshot show --json` for [`VERSION_1_FILE`] when format version 1 was current.
 const VERSION_1_JSON: &str = include_str!("../version-1-snapshot.json");
 
 /// A directory for the snapshots of one test.
@@ -183,6 +183,7 @@
 #[test]
 fn unreadable_snapshots_are_quarantined_and_the_instance_serves() {
     let endpoint = TestEndpoint::responsive();
+    // A header of format version 9, and one that gives the rest of the file a length of 3 GB.
     let newer = [&b"tidemem\n"[..], &[0, 0, 0, 9], &[0; 40]].concat();
     let huge = [
         &b"tidemem\n"[..],
@@ -192,6 +193,7 @@
         &[0; 4],
     ]
     .concat();
+    // The name of a quarantined file ends with a label for the reason.
     for (label, bytes) in [
         ("empty", vec![]),
         ("newer", newer),
--- a/crates/proxy/tests/loopback/stream.rs
+++ b/crates/proxy/tests/loopback/stream.rs
@@ -102,27 +102,28 @@
 /// A response after which the stream has to be reopened.
 struct EndedStream {
     response: &'static str,
-    /// The third request is received no earlier than this.
+    /// The minimum time from the first attempt to connect to the third request, which is sent
+    /// after two backoffs.
     min_time_to_third_request: Duration,
 }
 
 const ENDED_STREAMS: [EndedStream; 4] = [
-    // Stays open without a body.
+    // The stream stays open without a body.
     EndedStream {
         response: CHUNKED_HEAD,
         min_time_to_third_request: Duration::from_millis(300),
     },
-    // Ends after a body of one byte.
+    // The stream ends after a body of one byte.
     EndedStream {
         response: "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n",
         min_time_to_third_request: Duration::from_millis(200),
     },
-    // Not an HTTP response.
+    // The response is not HTTP.
     EndedStream {
         response: "nonsense\r\n\r\n",
         min_time_to_third_request: Duration::from_millis(300),
     },
-    // Rejected with status 503.
+    // The request is rejected with status 503.
     EndedStream {
         response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         min_time_to_third_request: Duration::from_millis(300),
@@ -188,7 +189,7 @@
     }
 
     assert_eq!(lines.iter().filter(|line| *line == "new").count(), 1);
-    // Only the replacement remains. Its deadline and that of the next replacement are scheduled.
+    // Only the replacement remains. Its deadline and that of the next renewal are scheduled.
     let deadlines = &mut fixture.context.deadlines;
     let owners: Vec<_> = std::iter::from_fn(|| deadlines.pop_due(Timestamp::MAX)).collect();
     let expected = [SlotKey::new(1), SlotKey::new(u64::MAX)]
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -16,8 +16,9 @@
 struct DrainCase {
     /// The longest time limit of any request.
     longest_request_ms: u64,
-    /// The expected times after SIGTERM.
+    /// The expected deadline of attempts, counted from SIGTERM.
     attempt_deadline_ms: u64,
+    /// The expected deadline of the shutdown, counted from SIGTERM.
     shutdown_deadline_ms: u64,
 }
 
