--- a/crates/proxy/tests/loopback/common/protocol.rs
+++ b/crates/proxy/tests/loopback/common/protocol.rs
@@ -88,7 +88,7 @@
     true
 }
 
-/// Reads the next message and returns its type byte and body. Returns `None` if the stream ends or a
+/// Reads the next message and returns its type byte and body, or `None` if the stream ends or a
 /// read fails first.
 pub fn next_message(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<(u8, Vec<u8>)> {
     read_until_length(stream, bytes, 5).then_some(())?;
--- a/crates/proxy/tests/tables/connection_stages.rs
+++ b/crates/proxy/tests/tables/connection_stages.rs
@@ -38,6 +38,8 @@
     connections
 }
 
+/// The numbers of the connections that may be evicted, in eviction order. Unless it is closing, a
+/// connection may be evicted only if it entered its stage at this time or earlier.
 fn eviction_order(connections: &ConnectionsByStage, latest_micros: u64) -> Vec<u64> {
     connections
         .eviction_order(at(latest_micros))
