--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -9,7 +9,7 @@
 use crate::latency::{BaselineLearning, LatencySample, RequestWork};
 use crate::requests::{Attempt, Request};
 use crate::retries::{PossibleAnswer, may_write};
-use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer, RolloutView};
+use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedResponse, RolloutView};
 use crate::statistics::WindowKey;
 use crate::types::{
     AttemptId, AttemptOutcome, AttemptResult, EndpointEntry, EndpointIndex, HardwareClassIndex,
@@ -398,17 +398,17 @@
         self.votes.record_result(result, self.context.now);
     }
 
-    /// Records an answer that an endpoint sent `age` ago and that a client has flagged as faulty,
+    /// Records a response that an endpoint sent `age` ago and that a client has flagged as wrong,
     /// as a failure of the endpoint's build. An unknown endpoint is ignored.
-    pub fn on_answer_flagged(&mut self, name: &str, age: Duration) {
+    pub fn on_response_flagged(&mut self, name: &str, age: Duration) {
         if let Some(endpoint) = self.endpoints.find(name) {
             let now = self.context.now;
-            let answer = FlaggedAnswer {
+            let flagged = FlaggedResponse {
                 endpoint,
                 process: self.endpoints[endpoint].process,
-                answered_at: now - age,
+                responded_at: now - age,
             };
-            self.evaluator.record_flagged_answer(answer, now);
+            self.evaluator.record_flagged_response(flagged, now);
         }
     }
 }
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -14,7 +14,7 @@
 mod voting;
 
 pub(crate) use attempt_conditions::{AttemptTarget, attempt_conditions};
-pub(crate) use evaluator::{Evaluator, FlaggedAnswer};
+pub(crate) use evaluator::{Evaluator, FlaggedResponse};
 pub(crate) use evidence::{AttemptEvidence, EndpointObservation};
 pub(crate) use exposure::ExposureLimiter;
 pub(crate) use fleet_baseline::{FleetBaseline, FleetComparison, FleetState};
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -24,14 +24,14 @@
     BuildNumber, EndpointIndex, EvidenceTest, RollbackVerdict, StageIndex, Timestamp,
 };
 
-/// An answer that a client has flagged as faulty after receiving it.
+/// A response that a client has flagged as wrong after receiving it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FlaggedAnswer {
-    /// The endpoint that sent the answer.
+pub(crate) struct FlaggedResponse {
+    /// The endpoint that sent the response.
     pub(crate) endpoint: EndpointIndex,
     /// The process that runs at the endpoint now.
     pub(crate) process: Process,
-    pub(crate) answered_at: Timestamp,
+    pub(crate) responded_at: Timestamp,
 }
 
 /// A build that the evaluation has rejected.
@@ -102,16 +102,16 @@
         }
     }
 
-    /// Records an answer that a client has flagged. It adds a failure but no outcome, because the
+    /// Records a response that a client has flagged. It adds a failure but no outcome, because the
     /// outcome was counted when the attempt ended.
-    pub(crate) fn record_flagged_answer(&mut self, answer: FlaggedAnswer, now: Timestamp) {
-        let started_at = answer.process.started_at.unwrap_or_default();
-        if answer.answered_at < started_at + START_UP_GRACE_PERIOD {
+    pub(crate) fn record_flagged_response(&mut self, flagged: FlaggedResponse, now: Timestamp) {
+        let started_at = flagged.process.started_at.unwrap_or_default();
+        if flagged.responded_at < started_at + START_UP_GRACE_PERIOD {
             return;
         }
         let key = OutcomeKey {
-            build: answer.process.build,
-            endpoint: answer.endpoint,
+            build: flagged.process.build,
+            endpoint: flagged.endpoint,
         };
         for test in [EvidenceTest::Failures, EvidenceTest::Errors] {
             self.outcomes.record_late_failure(key, test, now);
@@ -202,8 +202,8 @@
                 verdict = Some(rollback_verdict(rollout, result, &evidence, fleet));
             }
             self.score_is_positive |= score > 0.0;
-            let is_failures = test == EvidenceTest::Failures;
-            releases_hold |= is_failures && scores.minimum_effect <= bounds.lower;
+            let is_failures_test = test == EvidenceTest::Failures;
+            releases_hold |= is_failures_test && scores.minimum_effect <= bounds.lower;
         }
         if releases_hold {
             self.release_hold(rollout);
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the outcomes of one test and the failures among them. There are never more failures
-    /// than outcomes, even if a flagged answer was recorded here without its outcome.
+    /// than outcomes, even if a flagged response was recorded here without its outcome.
     pub fn for_test(&self, test: EvidenceTest) -> EndpointOutcomes {
         let outcomes = self.outcomes[test];
         let failures = self.failures[test].min(outcomes);
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -79,7 +79,7 @@
 pub fn apply_event(lines: &str, policy: &mut Balancer) -> Result<(), EventError> {
     match Event::parse(lines)? {
         Event::Status(status) => status.apply(policy),
-        Event::ResponseFlagged { endpoint, age } => policy.on_answer_flagged(&endpoint, age),
+        Event::ResponseFlagged { endpoint, age } => policy.on_response_flagged(&endpoint, age),
         Event::Other => {}
     }
     Ok(())
--- a/crates/simulation/src/delivery.rs
+++ b/crates/simulation/src/delivery.rs
@@ -9,7 +9,7 @@
 
 use crate::clients::ClientRequest;
 use crate::environment::Environment;
-use crate::events::{AnswerFlagged, AttemptFinished, Notification};
+use crate::events::{AttemptFinished, Notification, ResponseFlagged};
 use crate::ids::{EndpointId, InstanceIndex};
 use crate::parameters::{REQUEST_DEADLINE, ROUTES};
 use crate::settings::{hardware_class_name, zone_name};
@@ -70,9 +70,9 @@
                 self.policy.on_rollout_status(announcement.status(now));
             }
             Notification::VoteAnswered(result) => self.policy.on_vote_result(result),
-            Notification::AnswerFlagged(flagged) => {
+            Notification::ResponseFlagged(flagged) => {
                 let name = &self.environment.fleet.endpoint(flagged.endpoint).name;
-                self.policy.on_answer_flagged(name, now - flagged.sent_at);
+                self.policy.on_response_flagged(name, now - flagged.sent_at);
             }
             Notification::HealthCheckFinished(finished) => {
                 let name = &self.environment.fleet.endpoint(finished.endpoint).name;
@@ -158,12 +158,12 @@
                 .runs_candidate()
     }
 
-    /// Counts a correct answer within the latency objective as served. The client may report a
-    /// wrong answer later.
+    /// Counts a correct answer within the latency objective as served. The client may flag a
+    /// wrong response later.
     fn on_request_answered(&mut self, request: ClientRequest, finished: &AttemptFinished) {
         let now = self.environment.now;
         if finished.wrong_answer {
-            self.flag_wrong_answer(finished);
+            self.flag_wrong_response(finished);
             return;
         }
         let route = &ROUTES[request.route.get()];
@@ -174,19 +174,19 @@
         }
     }
 
-    fn flag_wrong_answer(&mut self, finished: &AttemptFinished) {
+    fn flag_wrong_response(&mut self, finished: &AttemptFinished) {
         if !self.environment.attempts.draw_flagged() {
             return;
         }
         let at = self.environment.now + self.environment.network.draw_flag_delay();
-        let flagged = AnswerFlagged {
+        let flagged = ResponseFlagged {
             endpoint: finished.endpoint,
             sent_at: finished.sent_at,
         };
         self.environment.network.queue.notify(
             at,
             self.instance,
-            Notification::AnswerFlagged(flagged),
+            Notification::ResponseFlagged(flagged),
         );
     }
 
--- a/crates/simulation/src/events.rs
+++ b/crates/simulation/src/events.rs
@@ -48,8 +48,8 @@
     RolloutAnnounced(RolloutAnnouncement),
     /// The platform responds to a vote.
     VoteAnswered(VoteResult),
-    /// A client reports a wrong answer.
-    AnswerFlagged(AnswerFlagged),
+    /// A client flags a response as wrong.
+    ResponseFlagged(ResponseFlagged),
     /// A health check has ended.
     HealthCheckFinished(HealthCheckFinished),
 }
@@ -104,9 +104,9 @@
     }
 }
 
-/// A client's report of a wrong answer.
-pub(crate) struct AnswerFlagged {
-    /// The endpoint that gave it.
+/// A response that a client flags as wrong.
+pub(crate) struct ResponseFlagged {
+    /// The endpoint that sent the response.
     pub(crate) endpoint: EndpointId,
     /// When the attempt was sent.
     pub(crate) sent_at: Timestamp,
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -39,8 +39,8 @@
         outcome: AttemptOutcome,
         load: Option<LoadReport>,
     },
-    /// A client reported an earlier response of the endpoint as wrong (`CONTESTED`).
-    AnswerFlagged { endpoint: &'a str, age: Duration },
+    /// A client flagged an earlier response of the endpoint as wrong (`CONTESTED`).
+    ResponseFlagged { endpoint: &'a str, age: Duration },
     /// A rollout status, the result of this instance's vote, or both (`PHASE_TOLD`).
     Rollout {
         /// `None` if the message is not a response to a vote.
@@ -64,7 +64,7 @@
             "WITHDRAWN" => requests::parse_disconnect(line),
             "OPENED" => requests::parse_response_start(line),
             "ECHO" => requests::parse_health_check(line),
-            "CONTESTED" => requests::parse_flagged_answer(line, routes),
+            "CONTESTED" => requests::parse_flagged_response(line, routes),
             "PHASE_TOLD" => rollout::parse_rollout(line),
             "ROSTER_CHANGE" => {
                 let rows = event_line.endpoint_rows.as_ref();
--- a/crates/simulator-adapter/src/event/requests.rs
+++ b/crates/simulator-adapter/src/event/requests.rs
@@ -94,13 +94,13 @@
 }
 
 /// Parses `CONTESTED <endpoint> <route> <age in ms>`.
-pub(super) fn parse_flagged_answer<'a>(
+pub(super) fn parse_flagged_response<'a>(
     line: &'a str,
     routes: &RouteNames,
 ) -> Result<Event<'a>, AdapterError> {
     let [endpoint, route, age] = fields(line)?;
     routes.index_of(route)?;
-    Ok(Event::AnswerFlagged {
+    Ok(Event::ResponseFlagged {
         endpoint,
         age: parse_duration(age)?,
     })
--- a/crates/simulator-adapter/src/event_source.rs
+++ b/crates/simulator-adapter/src/event_source.rs
@@ -63,7 +63,7 @@
             outcome,
             load,
         } => policy.on_health_check(endpoint, outcome, load),
-        Event::AnswerFlagged { endpoint, age } => policy.on_answer_flagged(endpoint, age),
+        Event::ResponseFlagged { endpoint, age } => policy.on_response_flagged(endpoint, age),
         Event::Rollout {
             vote_result,
             status,
