--- a/crates/policy/src/admission/concurrency_limit.rs
+++ b/crates/policy/src/admission/concurrency_limit.rs
@@ -8,7 +8,7 @@
 /// Time constant of the moving average of the share of slow responses.
 const SLOW_SHARE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
 /// A response counts as slow if its latency exceeds this fraction of its latency objective.
-const TARGET_LATENCY_RATIO: f64 = 0.25;
+const SLOW_LATENCY_RATIO: f64 = 0.25;
 /// The limit is congested while the share of slow responses exceeds this threshold.
 const CONGESTED_SLOW_SHARE: f64 = 0.5;
 /// A congested limit is multiplied by this factor.
@@ -76,7 +76,7 @@
     /// Adapts the limit to the result of an attempt. A saturated limit increases while there is no
     /// congestion. A congested limit decreases at most once per half latency objective.
     pub(super) fn record(&mut self, observed: LimitSample, now: Timestamp) {
-        let is_slow = observed.ratio > TARGET_LATENCY_RATIO;
+        let is_slow = observed.ratio > SLOW_LATENCY_RATIO;
         self.slow_responses.add(f64::from(is_slow), now);
         let is_congested = self.is_congested();
         if is_congested && now >= self.last_decreased_at + observed.objective / 2 {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -273,7 +273,7 @@
             if is_warm && !self.health.is_ejected(index) {
                 let class = endpoint.hardware_class;
                 self.slow_start
-                    .record_ready_time(class, EVALUATION_INTERVAL, now);
+                    .record_time_in_service(class, EVALUATION_INTERVAL, now);
             }
         }
     }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -131,6 +131,6 @@
     let is_unexplained = attempt.conditions.warm
         && (is_slow == Some(true) || evidence.endpoint.last_response_at <= attempt.sent_at);
     let is_late = exceeds_time_limit(evidence.latency, evidence.objective);
-    let time_counts = outcome.measures_latency() && (is_unexplained || !is_late) && !stalled;
-    attempt.conditions.past_start_up && (outcome.is_error() || time_counts)
+    let latency_counts = outcome.measures_latency() && (is_unexplained || !is_late) && !stalled;
+    attempt.conditions.past_start_up && (outcome.is_error() || latency_counts)
 }
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -16,7 +16,7 @@
 const RENEWAL_TENTHS_OF_LIFETIME: u64 = 6;
 /// The votes of all instances are spread over one second for each of these microseconds of a vote's
 /// lifetime, that is, over half the lifetime.
-const LIFETIME_MICROS_PER_SPREAD_SECOND: f64 = 2e6;
+const HALF_LIFETIME_DIVISOR: f64 = 2e6;
 
 /// A vote that has been sent to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -126,7 +126,7 @@
 fn vote_probability(settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let lifetime = whole_micros(settings.vote_lifetime) as f64;
-    settings.votes_per_second * lifetime / LIFETIME_MICROS_PER_SPREAD_SECOND / instances
+    settings.votes_per_second * lifetime / HALF_LIFETIME_DIVISOR / instances
 }
 
 /// Returns how this instance should vote on the newest build.
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -157,11 +157,13 @@
     /// rate of false votes of all instances together is approximated by the square of the
     /// difference between the square root of `votes` and `sqrt_votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, sqrt_votes_offset: f64) -> f64 {
-        let rate = if votes > 1.0 {
+        let tolerable_false_votes = if votes > 1.0 {
             (votes.sqrt() - sqrt_votes_offset).powi(2)
         } else {
             self.alpha
         };
-        (self.alpha / rate * instances).ln().max(0.0)
+        (self.alpha / tolerable_false_votes * instances)
+            .ln()
+            .max(0.0)
     }
 }
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -9,7 +9,7 @@
 /// Time constant of the moving average of the rates.
 const RATE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
 /// Minimum total time in service from which a rate is computed.
-const MIN_READY_SECONDS: f64 = 1.0;
+const MIN_SECONDS_IN_SERVICE: f64 = 1.0;
 
 /// Number of responses of warm endpoints and their time in service in seconds, by hardware class.
 #[derive(Debug, Default)]
@@ -34,17 +34,17 @@
     }
 
     /// Adds `time` to the time that warm endpoints of a hardware class have been in service.
-    pub(super) fn record_ready_time(
+    pub(super) fn record_time_in_service(
         &mut self,
         class: HardwareClassIndex,
         time: Duration,
         now: Timestamp,
     ) {
-        let ready_time = WeightedSum {
+        let time_in_service = WeightedSum {
             sum: 0.0,
             weight: time.as_micros() as f64 / 1e6,
         };
-        self.classes[class].add_weighted(ready_time, now);
+        self.classes[class].add_weighted(time_in_service, now);
     }
 
     /// Returns the responses per second of a warm endpoint of a hardware class, or of all classes
@@ -68,7 +68,7 @@
         let by_preference = [sums[class.get()], all];
         let sufficient_sums = by_preference
             .into_iter()
-            .find(|sums| sums.weight >= MIN_READY_SECONDS);
+            .find(|sums| sums.weight >= MIN_SECONDS_IN_SERVICE);
         sufficient_sums.map(|sums| sums.sum / sums.weight)
     }
 }
--- a/crates/policy/src/warm_up/slow_start.rs
+++ b/crates/policy/src/warm_up/slow_start.rs
@@ -114,13 +114,13 @@
     }
 
     /// Adds `time` to the time that warm endpoints of a hardware class have been in service.
-    pub(crate) fn record_ready_time(
+    pub(crate) fn record_time_in_service(
         &mut self,
         class: HardwareClassIndex,
         time: Duration,
         now: Timestamp,
     ) {
-        self.capacity.record_ready_time(class, time, now);
+        self.capacity.record_time_in_service(class, time, now);
     }
 
     /// Updates the credit of a warming endpoint and returns whether it covers a request.
