--- a/crates/policy/src/rollout/attempt_conditions.rs
+++ b/crates/policy/src/rollout/attempt_conditions.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Returns whether the process of an endpoint has run for at least `time`. An unknown start time
-/// counts as long ago.
+/// Returns whether the process of an endpoint has run for at least `time`. A start time that is not
+/// listed counts as long ago.
 fn has_run_for(endpoint: &Endpoint, time: Duration, context: &StepContext) -> bool {
     endpoint
         .process
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -45,11 +45,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RestoredRejection {
     build: BuildNumber,
-    /// The build is held until this time because of the earlier rejection.
+    /// When the rejection expires.
     until: Timestamp,
 }
 
-/// A build and the stage at which its hold has been released.
+/// A build, and a stage at which this instance no longer holds it: it may advance from this stage
+/// even if a test has a positive score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReleasedHold {
     build: BuildNumber,
@@ -59,8 +60,10 @@
 /// The result of the last evaluation of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assessment {
+    /// This instance has rejected the build since it started.
     pub(crate) is_rejected: bool,
-    /// No test had a positive score, or the hold has been released.
+    /// No test had a positive score, or the hold has been released. Otherwise this instance holds
+    /// the build: it keeps the build at its present stage.
     pub(crate) may_advance: bool,
 }
 
@@ -76,7 +79,7 @@
     restored_rejection: Option<RestoredRejection>,
     released_hold: Option<ReleasedHold>,
     /// At least one test had a positive score in the last evaluation, or the build was rejected
-    /// before a restart.
+    /// before a restart. The build is then held at its present stage until the hold is released.
     score_is_positive: bool,
 }
 
@@ -297,7 +300,7 @@
     }
 }
 
-/// Returns the margin that accounts for the number of instances that vote.
+/// Returns the margin by which a score must exceed the upper bound because many instances vote.
 fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
--- a/crates/policy/src/rollout/exposure.rs
+++ b/crates/policy/src/rollout/exposure.rs
@@ -6,7 +6,7 @@
 use crate::step_context::StepContext;
 use crate::types::{BuildNumber, RouteIndex, StageIndex, Timestamp};
 
-/// The key under which requests are counted, since a request does not belong to a build.
+/// Placeholder in the keys of admitted requests, which do not belong to a build.
 const ALL_BUILDS: BuildNumber = BuildNumber::new(0);
 
 /// Limits attempts at builds under evaluation: within any window, their number is at most a fixed
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -9,7 +9,7 @@
 use crate::step_context::StepContext;
 use crate::types::Timestamp;
 
-/// Time constant over which the rate of attempts is averaged.
+/// Time constant of the exponentially weighted rate of attempts.
 const ATTEMPTS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
 /// The shortest time over which the rate of attempts is computed.
 const MIN_ATTEMPTS_LIFETIME: Duration = Duration::from_secs(1);
@@ -17,7 +17,8 @@
 /// least this many tenths of the number at the time of the baseline.
 const MIN_ENDPOINT_TENTHS: usize = 9;
 /// The fleet is comparable with its baseline only while this instance sends attempts at no more
-/// than this multiple of its rate at the time of the baseline, plus a tolerance for sampling error.
+/// than this multiple of its rate at the time of the baseline, plus two standard errors of that
+/// rate.
 const MAX_RATE_FACTOR: f64 = 1.2;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -66,6 +67,8 @@
     /// Returns whether the endpoints in service and the rate at which this instance sends attempts
     /// are comparable with the baseline.
     fn is_comparable(&self, in_service: InServiceCounts, attempts_per_second: f64) -> bool {
+        // The variance of an exponentially weighted rate of independent events is the rate divided
+        // by twice the time constant in seconds.
         let scaled_rate =
             self.attempts_per_second * MICROS_PER_SECOND / ATTEMPTS_TIME_CONSTANT.as_micros();
         let sampling_error = 2.0 * (scaled_rate / 2.0).sqrt();
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -6,10 +6,11 @@
     EvidenceTestMap, FailureFrequency, ScoreParameters, TestParameters, TimeConstant,
 };
 
-/// False-positive rate for which the bounds are chosen; set by the operators' design.
+/// False-positive rate (rollbacks of good builds) for which the bounds are chosen; specified by the
+/// operators.
 pub(super) const ALPHA: f64 = 0.05;
-/// False-negative rate (missed bad builds) for which the bounds are chosen; set by the operators'
-/// design.
+/// False-negative rate (missed bad builds) for which the bounds are chosen; specified by the
+/// operators.
 pub(super) const BETA: f64 = 0.20;
 
 /// Number of outcomes that a baseline needs before a test computes a score.
@@ -88,16 +89,20 @@
 pub(super) const PRIOR_FAILURES: f64 = 0.15 * MIN_OUTCOMES;
 
 /// Number of responses of a steady fleet that suffices to replace the fleet baseline of the
-/// previous rollout. With fewer, the previous baseline is kept.
+/// previous rollout. With fewer, the previous baseline is kept if it has more responses.
 pub(super) const MIN_FLEET_OUTCOMES: f64 = 5.0 * MIN_OUTCOMES;
 
 /// Relative increase of the evidence margin if all outcomes come from one endpoint. With more
 /// endpoints, the increase is smaller.
 pub(super) const CONCENTRATION_MARGIN_FACTOR: f64 = 2.0;
 
-/// Correction, subtracted from the square root of the number of votes, that accounts for how rarely
-/// several instances vote at the same time.
+/// Offset that is subtracted from the square root of the number of votes that a rollback needs. The
+/// square of the difference approximates the expected number of simultaneous false votes at which
+/// that many or more occur with the probability [`ALPHA`]: the square root of a Poisson-distributed
+/// number has a standard deviation of about 1/2, and the offset is half the 95% quantile of the
+/// standard normal distribution.
 pub(super) const SQRT_VOTES_OFFSET: f64 = 0.82;
 
-/// A hold is released at the latest when this time has passed since the stage began.
+/// Time since the start of a stage after which a hold is released at the latest. A hold keeps the
+/// build at its present stage while a test has a positive score.
 pub(super) const MAX_HOLD_TIME: Duration = Duration::from_secs(3);
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -14,8 +14,9 @@
 const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
 /// An accepted vote is cast again after this many tenths of its lifetime, before it expires.
 const RENEWAL_TENTHS_OF_LIFETIME: u64 = 6;
-/// The votes of all instances are spread over one second for each of these microseconds of a vote's
-/// lifetime, that is, over half the lifetime.
+/// Divisor that turns a vote's lifetime in microseconds into half the lifetime in seconds. The
+/// votes of all instances are spread over time so that one evaluation yields, on average, no more
+/// votes than the platform accepts in half the lifetime of a vote.
 const HALF_LIFETIME_DIVISOR: f64 = 2e6;
 
 /// A vote that has been sent to the platform.
--- a/crates/policy/src/statistics/arm.rs
+++ b/crates/policy/src/statistics/arm.rs
@@ -15,11 +15,11 @@
 /// How unevenly outcomes and failures are spread over endpoints, as sums over the endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Dispersion {
-    /// Sum of the squared failures.
+    /// Sum of the squared numbers of failures.
     pub failures_squared: f64,
-    /// Sum of the products of failures and outcomes.
+    /// Sum of the products of the numbers of failures and outcomes.
     pub failures_times_outcomes: f64,
-    /// Sum of the squared outcomes.
+    /// Sum of the squared numbers of outcomes.
     pub outcomes_squared: f64,
 }
 
--- a/crates/policy/src/statistics/decaying_mean.rs
+++ b/crates/policy/src/statistics/decaying_mean.rs
@@ -3,12 +3,12 @@
 use super::{DecayingSums, TimeConstant};
 use crate::types::Timestamp;
 
-/// A sum of values and their total weight, which is usually their number.
+/// Numerator and denominator of a mean or a rate: `sum / weight`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WeightedSum {
-    /// Sum of the values.
+    /// Sum of the values, which are not multiplied by their weights.
     pub sum: f64,
-    /// Number of the values, or another total of their weights.
+    /// Number of the values, or, for a rate, the time in seconds over which they were counted.
     pub weight: f64,
 }
 
@@ -50,7 +50,7 @@
         self.sums.add([value, 1.0], now);
     }
 
-    /// Adds a sum of values with their total weight.
+    /// Adds to the sum and to the weight.
     pub fn add_weighted(&mut self, values: WeightedSum, now: Timestamp) {
         self.sums.add(values.into(), now);
     }
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
     updated_at: Timestamp,
-    /// All outcomes that are evidence in the test.
+    /// Number of outcomes that are evidence in each test.
     pub outcomes: EvidenceTestMap<f64>,
-    /// The outcomes that are failures in the test.
+    /// Number of outcomes that are failures in each test.
     pub failures: EvidenceTestMap<f64>,
 }
 
--- a/crates/policy/src/statistics/scores.rs
+++ b/crates/policy/src/statistics/scores.rs
@@ -9,7 +9,8 @@
     pub minimum_effect: f64,
     /// How frequent failures are in this test.
     pub failure_frequency: FailureFrequency,
-    /// The margin by which the score must exceed the upper bound.
+    /// The margin by which the score must exceed the upper bound if the outcomes come from many
+    /// endpoints.
     pub evidence_margin: f64,
     /// The number of outcomes of the candidate below which no score is computed.
     pub min_candidate_outcomes: f64,
--- a/crates/policy/src/statistics/sprt.rs
+++ b/crates/policy/src/statistics/sprt.rs
@@ -96,6 +96,7 @@
             failures: expected_failures,
             ..candidate
         });
+        // Laplace's rule of succession: one additional failure and one additional success.
         let smoothed = Arm {
             failures: candidate.failures + 1.0,
             outcomes: candidate.outcomes + 2.0,
@@ -153,9 +154,10 @@
     ///
     /// `alpha` limits the rate of false rollbacks, and a rollback needs `votes` simultaneous votes.
     /// The margin lowers the false-positive rate of each instance so that this many simultaneous
-    /// false votes are no more frequent than `alpha`. If several votes are needed, the tolerable
-    /// rate of false votes of all instances together is approximated by the square of the
-    /// difference between the square root of `votes` and `sqrt_votes_offset`.
+    /// false votes are no more frequent than `alpha`. The false votes that all instances together
+    /// may cast, on average, are `alpha` if one vote is needed. If several are needed, their number
+    /// is approximated by the square of the difference between the square root of `votes` and
+    /// `sqrt_votes_offset`.
     pub fn instance_margin(self, instances: f64, votes: f64, sqrt_votes_offset: f64) -> f64 {
         let tolerable_false_votes = if votes > 1.0 {
             (votes.sqrt() - sqrt_votes_offset).powi(2)
