--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -131,7 +131,8 @@
         if !may_write {
             return false;
         }
-        // Rule 5 counts an attempt from the time at which it is written.
+        // The limit on traffic to builds under evaluation (rule 5) counts an attempt from the time
+        // at which it is written.
         let key = WindowKey {
             build,
             route: request.route,
@@ -219,9 +220,9 @@
         }
     }
 
-    /// Records an attempt that has timed out. If a hedged request is due for it, its age is
-    /// recorded as a latency, because latencies would be underestimated if only completed responses
-    /// were measured.
+    /// Records an attempt that has timed out. If it is due to be hedged, its age is recorded as a
+    /// latency, because latencies would be underestimated if only completed responses were
+    /// measured.
     pub(super) fn record_timed_out(&mut self, timed_out: TimedOutAttempt) {
         let TimedOutAttempt { id, age } = timed_out;
         self.record_evidence(id, AttemptOutcome::TimedOut, age);
@@ -290,7 +291,7 @@
         self.latency.record(&sample, learning, now);
     }
 
-    /// Returns whether the latency of an attempt may update the baselines.
+    /// Returns under which condition the latency of an attempt may update the baselines.
     fn baseline_learning(&self, attempt: &Attempt) -> BaselineLearning {
         let build = attempt.process.build;
         let is_under_evaluation = self.rollout.is_under_evaluation(build, &self.endpoints);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -14,7 +14,7 @@
 //! - `health`: ejection, health checks, panic mode
 //! - `latency`: baseline latencies and slowdowns
 //! - `warm_up`: slow start
-//! - `retries`: idempotency, timeouts, hedged requests
+//! - `retries`: idempotency, timeouts, hedged attempts
 //! - `admission`: concurrency limits, priorities, load shedding
 //! - `rollout`: evidence, evaluation, exposure of new builds, votes
 //! - `routing`: choice of an endpoint
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -6,25 +6,25 @@
 /// State of an attempt whose response has not begun to arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AwaitingResponse {
-    /// Its response may be lost, so a hedged request may be sent in parallel.
+    /// The response may be lost, so a hedged attempt of the same request may be sent in parallel.
     pub(crate) hedge_due: bool,
-    /// It must not be recorded as evidence any more, because it was recorded when it exceeded its
-    /// time limit, or because its request is finished.
+    /// The attempt must not be recorded as evidence any more: it was recorded when it exceeded its
+    /// time limit, or its request was already finished.
     pub(crate) evidence_recorded: bool,
 }
 
 /// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
-    /// It has been sent, and no part of a response has arrived.
+    /// The attempt has been sent, and no part of a response has arrived.
     AwaitingResponse(AwaitingResponse),
-    /// Its response is streaming to the client; no time limit applies any more.
+    /// The response is streaming to the client; no time limit applies any more.
     Streaming { evidence_recorded: bool },
-    /// It has ended.
+    /// The attempt has ended.
     Finished { may_have_executed: bool },
 }
 
-/// Conditions at the time an attempt was sent, which determine the outcomes it is compared with.
+/// Conditions at the time an attempt was sent. They determine which tests may use its outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct AttemptConditions {
     /// The endpoint had been running long enough for its outcomes to count.
@@ -42,7 +42,7 @@
 /// One attempt of a request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Endpoint to which it was sent.
+    /// Endpoint to which the attempt was sent.
     pub(crate) endpoint: EndpointIndex,
     /// Process that ran at the endpoint when the attempt was sent.
     pub(crate) process: Process,
@@ -68,17 +68,17 @@
         }
     }
 
-    /// Returns whether it has not ended.
+    /// Returns whether the attempt has not ended.
     pub(crate) fn in_flight(&self) -> bool {
         !matches!(self.state, AttemptState::Finished { .. })
     }
 
-    /// Returns whether a hedged request may be sent in parallel.
+    /// Returns whether a hedged attempt of the same request may be sent in parallel.
     pub(crate) fn hedge_due(&self) -> bool {
         matches!(self.state, AttemptState::AwaitingResponse(waiting) if waiting.hedge_due)
     }
 
-    /// Returns whether it is in flight and prevents another attempt of its request.
+    /// Returns whether the attempt is in flight and prevents another one of the same request.
     pub(crate) fn blocks_request(&self) -> bool {
         self.in_flight() && !self.hedge_due()
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns whether it is no longer to be recorded as evidence.
+    /// Returns whether the attempt must not be recorded as evidence any more.
     pub(crate) fn evidence_recorded(&self) -> bool {
         match self.state {
             AttemptState::AwaitingResponse(waiting) => waiting.evidence_recorded,
@@ -112,7 +112,7 @@
         self.state = AttemptState::Finished { may_have_executed };
     }
 
-    /// Returns its state if its response has not begun to arrive.
+    /// Returns the state if the response has not begun to arrive.
     pub(super) fn awaiting_response_mut(&mut self) -> Option<&mut AwaitingResponse> {
         match &mut self.state {
             AttemptState::AwaitingResponse(waiting) => Some(waiting),
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -13,22 +13,22 @@
     /// milliseconds.
     pub(crate) cost: f64,
     pub(crate) arrived_at: Timestamp,
-    /// When its client stops waiting, or earlier if this instance shuts down before.
+    /// When the client stops waiting or this instance shuts down, whichever is earlier.
     pub(crate) deadline: Timestamp,
-    /// When its latency objective ends; never later than `deadline`.
+    /// Latest time of a response that meets the latency objective; never later than `deadline`.
     pub(crate) objective_deadline: Timestamp,
-    /// Binary logarithm of its priority relative to the highest one; requests with a higher level
-    /// are served first.
+    /// Rounded binary logarithm of the request's priority relative to the highest one; requests
+    /// with a higher level are served first.
     pub(crate) priority_level: i32,
     /// The client has received a response or has disconnected.
     pub(crate) finished: bool,
-    /// Endpoint that reset the connection of its last attempt; set until a health check shows
+    /// Endpoint that reset the connection of the last attempt; set until a health check shows
     /// whether the endpoint is still running.
     pub(crate) crash_suspect: Option<EndpointIndex>,
-    /// The endpoint of its last attempt is down after a suspected crash, so the request is not sent
+    /// The endpoint of the last attempt is down after a suspected crash, so the request is not sent
     /// to another endpoint, which it might crash too.
     pub(crate) query_of_death: bool,
-    /// Its attempts, indexed by [`AttemptIndex`].
+    /// Attempts of the request, indexed by [`AttemptIndex`].
     pub(crate) attempts: Vec<Attempt>,
 }
 
@@ -38,17 +38,17 @@
         self.attempts.get(index.get())
     }
 
-    /// Returns whether any of its attempts has not ended.
+    /// Returns whether any attempt of the request has not ended.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::in_flight)
     }
 
-    /// Returns whether it is unfinished and no attempt prevents another one.
+    /// Returns whether the request is unfinished and no attempt prevents another one.
     pub(crate) fn awaits_attempt(&self) -> bool {
         !self.finished && !self.attempts.iter().any(Attempt::blocks_request)
     }
 
-    /// Returns whether it is finished and has no attempt in flight.
+    /// Returns whether the request is finished and has no attempt in flight.
     pub(crate) fn is_done(&self) -> bool {
         self.finished && !self.has_attempt_in_flight()
     }
@@ -66,19 +66,19 @@
             .filter(|attempt| attempt.may_have_executed())
     }
 
-    /// Returns whether any of its attempts may have executed it.
+    /// Returns whether any attempt may have executed the request.
     pub(crate) fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_executed)
     }
 
-    /// Returns whether it has been sent to an endpoint.
+    /// Returns whether the request has been sent to this endpoint.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// Returns whether it refers to an endpoint by an attempt or as a crash suspect.
+    /// Returns whether an attempt was sent to this endpoint, or the endpoint is the crash suspect.
     pub(super) fn refers_to(&self, endpoint: EndpointIndex) -> bool {
         self.was_sent_to(endpoint) || self.crash_suspect == Some(endpoint)
     }
--- a/crates/policy/src/requests/table.rs
+++ b/crates/policy/src/requests/table.rs
@@ -23,16 +23,16 @@
 #[derive(Debug)]
 pub(crate) struct WaitingAttempt<'a> {
     pub(crate) id: AttemptId,
-    /// Endpoint to which it was sent.
+    /// Endpoint to which the attempt was sent.
     pub(crate) endpoint: EndpointIndex,
     pub(crate) sent_at: Timestamp,
     /// Route of the request.
     pub(crate) route: RouteIndex,
     /// Cost of the request.
     pub(crate) cost: f64,
-    /// The client has received a response or has disconnected.
+    /// Whether the client has received a response or has disconnected.
     pub(crate) request_finished: bool,
-    /// It is the only attempt of its request.
+    /// Whether the request has no other attempt, ended or not.
     pub(crate) is_only_attempt: bool,
     pub(crate) state: &'a mut AwaitingResponse,
 }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,5 +1,5 @@
 //! Retries and hedging: whether a request may be sent again (rule 2: a request is executed twice
-//! only if its idempotency allows it), when an attempt times out, and when a hedged request is due.
+//! only if its idempotency allows it), when an attempt times out, and when a hedged attempt is due.
 //!
 //! A request is sent to a second endpoint in these cases:
 //!
@@ -7,15 +7,15 @@
 //! - An attempt ended in any other way, and `idempotency` allows a retry. After a connection reset,
 //!   a health check must first show that the request has not crashed the endpoint. If the endpoint
 //!   is down, the request is treated as a query of death and not sent again.
-//! - A hedged request is due because the response to the only attempt may be lost, and the rules
-//!   above allow it. The attempt must be older than half its latency objective and older than
-//!   `HEDGE_FACTOR` = 4 times its baseline latency, the settings `hedging` and `cancel_attempts`
-//!   must be on, `MIN_HEDGE_RESPONSES` = 100 responses must be known, and there must be no
-//!   congestion at that time (`timeouts`).
+//! - A hedged attempt, sent while the first one is still in flight, is due because the response to
+//!   the first may be lost, and the rules above allow it. The first attempt must be older than half
+//!   its latency objective and older than `HEDGE_FACTOR` = 4 times its baseline latency, the
+//!   settings `hedging` and `cancel_attempts` must be on, `MIN_HEDGE_RESPONSES` = 100 responses
+//!   must be known, and there must be no congestion at that time (`timeouts`).
 //!
 //! A request is not sent again in these cases:
 //!
-//! - An attempt is in flight for which no hedged request is due.
+//! - An attempt is in flight for which no hedged attempt is due.
 //! - It has already had `max_attempts` attempts.
 //! - It is not idempotent and an attempt may have executed it, or its idempotency key has expired
 //!   or is not known to the other endpoint (`idempotency`).
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -1,4 +1,5 @@
-//! Timeouts of attempts, and the conditions for a hedged request.
+//! Timeouts of attempts, and the conditions for a hedged attempt: a second attempt of a request,
+//! sent while the first one is still in flight.
 
 use std::time::Duration;
 
@@ -11,9 +12,9 @@
 
 /// An attempt that takes longer than this multiple of its latency objective counts as failed.
 const TIME_LIMIT_FACTOR: u32 = 2;
-/// A hedged request becomes due once the only attempt of a request has taken longer than this
+/// A hedged attempt becomes due once the only attempt of a request has taken longer than this
 /// multiple of its baseline latency and longer than half its latency objective, since its response
-/// may be lost. The hedged request then stays due even if congestion sets in.
+/// may be lost. The hedged attempt then stays due even if congestion sets in.
 const HEDGE_FACTOR: f64 = 4.0;
 /// Number of responses that must be known before requests are hedged. The first responses to arrive
 /// are the fast ones, which bias the baseline latency downwards.
@@ -56,7 +57,7 @@
     ) -> AttemptTimeouts<'a> {
         let expected_latency_per_cost = latency.expected_latency_per_cost(context.now);
         let settings = &context.settings;
-        // Hedged requests add load and only help if the first attempt can be cancelled.
+        // Hedged attempts add load and only help if the first attempt can be cancelled.
         let is_enabled = settings.cancel_attempts && settings.hedging;
         let has_enough_responses = latency.response_count() >= MIN_HEDGE_RESPONSES;
         AttemptTimeouts {
@@ -68,7 +69,7 @@
     }
 
     /// Determines the consequences of the age of an attempt, and updates its state when a hedged
-    /// request becomes due or when it must not be recorded as evidence again.
+    /// attempt becomes due or when it must not be recorded as evidence again.
     pub(crate) fn check(
         &self,
         attempt: &mut WaitingAttempt<'_>,
@@ -78,7 +79,7 @@
         let age = self.now - attempt.sent_at;
         let is_late = exceeds_time_limit(age, objective);
         let is_unresponsive = last_response_at <= attempt.sent_at;
-        // An attempt at an unresponsive endpoint occupies the total limit for a shorter time.
+        // An attempt at an unresponsive endpoint counts towards the total limit for a shorter time.
         let counted_until = if is_unresponsive {
             objective / 2
         } else {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Whether requests of a route may be executed more than once.
+/// Condition under which a request of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Repeated executions have the same effect as one.
@@ -15,7 +15,7 @@
         /// How long the endpoints keep a key.
         window: Duration,
     },
-    /// Must not be executed twice.
+    /// A request must not be executed twice.
     NotIdempotent,
 }
 
@@ -50,7 +50,7 @@
     pub latency_objective: Duration,
     /// Value of a response relative to those of other routes.
     pub priority_weight: f64,
-    /// Whether requests may be executed more than once.
+    /// Condition under which a request may be executed more than once.
     pub idempotency: Idempotency,
 }
 
@@ -67,14 +67,14 @@
     pub routes: Vec<Route>,
     /// Whether the endpoint list must be polled.
     pub poll_endpoints: bool,
-    /// An instance that has not polled the endpoint list for this long is treated as notified of
-    /// every change.
+    /// Maximum interval between polls of the endpoint list. An instance that has not polled it for
+    /// this long is treated as notified of every change.
     pub max_poll_interval: Duration,
     /// Cost of a response from another zone, as a fraction of the response's value.
     pub cross_zone_price: f64,
     /// Whether health checks are allowed. Without them, no endpoint is ejected.
     pub health_checks: bool,
-    /// Whether attempts may be cancelled. Without cancellation, no hedged requests are sent.
+    /// Whether attempts may be cancelled. Without cancellation, no hedged attempts are sent.
     pub cancel_attempts: bool,
     /// Whether two attempts of one request may be in flight simultaneously.
     pub hedging: bool,
