--- a/crates/policy/src/admission/concurrency_limit.rs
+++ b/crates/policy/src/admission/concurrency_limit.rs
@@ -13,10 +13,10 @@
 const CONGESTED_SLOW_SHARE: f64 = 0.5;
 /// A congested limit is multiplied by this factor.
 const DECREASE_FACTOR: f64 = 0.8;
-/// An idle limit is lowered to this multiple of the attempts in flight, plus
-/// [`HEADROOM_ATTEMPTS`].
+/// A limit is idle if it exceeds this multiple of the attempts in flight plus
+/// [`HEADROOM_ATTEMPTS`]. It is lowered towards that value.
 const HEADROOM_FACTOR: f64 = 2.0;
-/// Attempts added to the scaled number of attempts in flight.
+/// Number of attempts that is added to [`HEADROOM_FACTOR`] times the attempts in flight.
 const HEADROOM_ATTEMPTS: f64 = 4.0;
 /// A limit is saturated while it leaves room for at most this many further attempts.
 const SATURATION_MARGIN: f64 = 2.0;
@@ -28,7 +28,7 @@
 /// Input to a concurrency limit: a latency relative to its objective and the concurrent load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LimitSample {
-    /// Latency as a fraction of the objective.
+    /// Latency divided by the objective.
     pub(super) ratio: f64,
     /// Latency objective of the route.
     pub(super) objective: Duration,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns a limit that leaves headroom above the attempts in flight.
+/// Returns the value above which a limit counts as idle; see [`HEADROOM_FACTOR`].
 fn with_headroom(in_flight: f64) -> f64 {
     HEADROOM_FACTOR * in_flight + HEADROOM_ATTEMPTS
 }
--- a/crates/policy/src/admission/load_shedding.rs
+++ b/crates/policy/src/admission/load_shedding.rs
@@ -24,7 +24,7 @@
     Fail,
 }
 
-/// Decides whether a waiting request is served. No further attempt is made once the request is
+/// Decides how to proceed with a waiting request. No further attempt is made once the request is
 /// likely to miss its latency objective or no endpoint may receive it.
 pub(crate) fn decide_admission(
     request: &Request,
--- a/crates/policy/src/admission/priority.rs
+++ b/crates/policy/src/admission/priority.rs
@@ -4,7 +4,8 @@
 use crate::settings::Route;
 use crate::types::fractional_micros;
 
-/// Decay per request of the highest recorded priority, so that the scale adapts downwards too.
+/// Factor by which the highest recorded priority decays with each request, so that it adapts
+/// downwards too.
 const HIGHEST_PRIORITY_DECAY: f64 = 0.99;
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 
@@ -38,7 +39,7 @@
 /// Converts the priorities of requests to levels relative to the highest recent priority.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityScale {
-    /// Highest recent priority, decayed by [`HIGHEST_PRIORITY_DECAY`] per request.
+    /// Highest recent priority; each request multiplies it by [`HIGHEST_PRIORITY_DECAY`].
     highest: f64,
 }
 
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,7 +1,8 @@
 //! The policy of one instance: composes its parts and runs them in order in each step.
 //!
-//! Each part owns its state and its decisions; this module passes the decisions of one part to the
-//! others. `events` handles events from the host, and `persistence` saves and restores snapshots.
+//! Each part, such as the health checker or the rollout evaluator, owns its state and decisions.
+//! This module passes the decisions of one part to the others. `events` handles events from the
+//! host, and `persistence` saves and restores snapshots.
 
 mod events;
 mod persistence;
--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// Restoring. The caller has already weighted the records by their age.
+/// Restoring. The caller has already scaled down the sums in the records according to their age.
 impl Balancer {
     /// Restores the slowdown of an endpoint and its ejection, which lasts until health checks
     /// succeed.
--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -25,7 +25,7 @@
 /// Change of an endpoint's health that other modules must react to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
-    /// No such change.
+    /// Nothing has changed that other modules must react to.
     None,
     /// The endpoint was ejected and is in service again.
     ReturnedToService,
--- a/crates/policy/src/latency/estimate.rs
+++ b/crates/policy/src/latency/estimate.rs
@@ -8,10 +8,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestWork {
     pub(crate) route: RouteIndex,
+    /// Amount of work; see [`Request::cost`](crate::requests::Request::cost).
     pub(crate) cost: f64,
 }
 
-/// An estimated latency, in microseconds and fractions of them.
+/// An estimated latency, with a resolution finer than a microsecond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct LatencyEstimate {
     micros: f64,
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -29,7 +29,7 @@
 /// A measured latency and the conditions of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencySample {
-    /// The endpoint that responded.
+    /// The endpoint to which the attempt was sent.
     pub(crate) endpoint: EndpointWithClass,
     /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
@@ -39,7 +39,7 @@
     pub(crate) endpoint_load: f64,
 }
 
-/// Whether a latency sample may change the baselines.
+/// Condition under which a latency sample may change the baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BaselineLearning {
     /// Never, because the endpoint is warming up or its build is under evaluation.
--- a/crates/policy/src/latency/route_baselines.rs
+++ b/crates/policy/src/latency/route_baselines.rs
@@ -17,7 +17,9 @@
 /// Latencies by route, and of all routes together as the prior for routes with few responses.
 #[derive(Debug)]
 pub(super) struct RouteBaselines {
+    /// For each route, the sums of [`RouteLatency`](crate::snapshot::RouteLatency).
     routes: IndexedTable<RouteIndex, DecayingSums<3>>,
+    /// The same sums over the responses of all routes.
     all_routes: DecayingSums<3>,
 }
 
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -23,7 +23,8 @@
 use crate::types::{BuildNumber, EndpointIndex, HardwareClassIndex, RouteIndex};
 use crate::warm_up::{SlowStart, warm_up_fraction};
 
-/// Share of the remaining time within which an endpoint is expected to respond.
+/// Share of the time remaining until the objective is missed, within which an endpoint should
+/// respond. Endpoints that are expected to take longer are avoided.
 const RESPONSE_TIME_SHARE: f64 = 0.6;
 /// This instance's zone is preferred while its slowdown is at most this multiple, plus
 /// [`CROSS_ZONE_FACTOR`] times the cross-zone price, of the slowdown of the other zones.
@@ -63,8 +64,8 @@
         EndpointSelector { inputs, context }
     }
 
-    /// Returns an endpoint for a request that runs `lowest_build` or a later build, if there is
-    /// one.
+    /// Returns an endpoint for a request, if there is one. It must run `lowest_build` or a later
+    /// build.
     pub(crate) fn choose(
         &mut self,
         request: &Request,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -81,7 +81,7 @@
 /// Sum of the slowdowns and number of responses, for this instance's zone and for all other zones.
 pub type ZoneSlowdownSums = ByZone<WeightedSum>;
 
-/// A listed endpoint and the statistics of it.
+/// A listed endpoint and its statistics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointRecord<'a> {
     /// Name in the endpoint list.
@@ -117,7 +117,7 @@
     pub load: Option<WeightedSum>,
     /// Sum of the slowdowns and number of responses.
     pub slowdown: Option<WeightedSum>,
-    /// Sums of slowdowns, loads and responses over the responses that baselines were learned from.
+    /// Sums over the responses from which the baseline of the class was learned.
     pub baseline: Option<ClassLatency>,
 }
 
--- a/crates/policy/src/types/endpoint.rs
+++ b/crates/policy/src/types/endpoint.rs
@@ -27,7 +27,7 @@
     pub hardware_class: &'a str,
     /// Build that the endpoint runs.
     pub build: BuildNumber,
-    /// Whether the endpoint takes requests.
+    /// State of the endpoint: ready for requests, draining, or removed.
     pub state: EndpointState,
     /// Start time of the process; `None` if it has run for longer than the warm-up time.
     pub started_at: Option<Timestamp>,
--- a/crates/policy/src/types/request.rs
+++ b/crates/policy/src/types/request.rs
@@ -14,8 +14,8 @@
     pub idempotency_key: Option<&'a str>,
     /// Time until the client stops waiting for a response.
     pub time_remaining: Duration,
-    /// The client's hint of the cost of the request, in the unit of these hints; `None` without a
-    /// hint.
+    /// The client's estimate of the work that the request causes, in a unit that all such hints
+    /// share; `None` if the client sent none.
     pub cost_hint: Option<f64>,
 }
 
--- a/crates/policy/src/types/verdict.rs
+++ b/crates/policy/src/types/verdict.rs
@@ -9,7 +9,7 @@
     Failures,
     /// Slow responses, compared with the previous build over the same time.
     Slowness,
-    /// Errors alone, compared also with the time before the rollout.
+    /// Error responses alone, compared with those of earlier builds, also from before the rollout.
     Errors,
     /// Slow responses of the whole fleet, compared with the time before the rollout.
     FleetSlowdown,
--- a/crates/policy/src/warm_up.rs
+++ b/crates/policy/src/warm_up.rs
@@ -22,7 +22,8 @@
 //!   another attempt (`admission`).
 //! - The expected latency is below `RESPONSE_TIME_SHARE` = 0.6 of the remaining time, multiplied by
 //!   the warm-up fraction.
-//! - Rule 5 allows an attempt at its build.
+//! - The limit on traffic to builds under evaluation (rule 5, `rollout`) allows an attempt at its
+//!   build.
 
 mod capacity;
 mod slow_start;
