--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -10,4 +10,4 @@
 
 pub(crate) use concurrency_limits::{ConcurrencyLimits, LatencyObservation};
 pub(crate) use load_shedding::{Admission, decide_admission};
-pub(crate) use priority::{PriorityScale, RequestCost};
+pub(crate) use priority::{CostAndValue, PriorityScale};
--- a/crates/policy/src/admission/priority.rs
+++ b/crates/policy/src/admission/priority.rs
@@ -11,7 +11,7 @@
 
 /// Amount of work that a request causes, and the value of its response for prioritization.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct RequestCost {
+pub(crate) struct CostAndValue {
     /// The client's cost hint, or else the latency objective in milliseconds, on the assumption
     /// that clients allow more time for longer requests.
     pub(crate) cost: f64,
@@ -19,16 +19,16 @@
     pub(crate) value: f64,
 }
 
-impl RequestCost {
+impl CostAndValue {
     /// Returns the cost of a request; cost hints that are not positive are ignored.
-    pub(crate) fn new(route: &Route, cost_hint: Option<f64>) -> RequestCost {
+    pub(crate) fn new(route: &Route, cost_hint: Option<f64>) -> CostAndValue {
         let objective_millis = fractional_micros(route.latency_objective) / MICROS_PER_MILLISECOND;
         match cost_hint.filter(|hint| *hint > 0.0) {
-            Some(hint) => RequestCost {
+            Some(hint) => CostAndValue {
                 cost: hint,
                 value: hint,
             },
-            None => RequestCost {
+            None => CostAndValue {
                 cost: objective_millis,
                 value: 1.0,
             },
@@ -53,11 +53,11 @@
     pub(crate) fn level(
         &mut self,
         route: &Route,
-        cost: RequestCost,
+        cost_and_value: CostAndValue,
         expected: Option<LatencyEstimate>,
     ) -> i32 {
         let expected_micros = expected.map_or(1.0, LatencyEstimate::as_micros);
-        let priority = route.priority_weight * cost.value / expected_micros.max(1.0);
+        let priority = route.priority_weight * cost_and_value.value / expected_micros.max(1.0);
         self.highest = priority.max(HIGHEST_PRIORITY_DECAY * self.highest);
         (priority / self.highest).log2().round() as i32
     }
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Balancer, TimedOutAttempt};
-use crate::admission::{LatencyObservation, RequestCost};
+use crate::admission::{CostAndValue, LatencyObservation};
 use crate::endpoints::EndpointUpdate;
 use crate::health::{EndpointOutcome, HealthChange};
 use crate::latency::{BaselineLearning, LatencySample, RequestWork};
@@ -92,21 +92,21 @@
         self.exposure.record_request(route, now);
         self.slow_start.record_arrival(now);
         let settings = &self.context.settings.routes[route.get()];
-        let cost = RequestCost::new(settings, incoming.cost_hint);
+        let cost_and_value = CostAndValue::new(settings, incoming.cost_hint);
         let work = RequestWork {
             route,
-            cost: cost.cost,
+            cost: cost_and_value.cost,
         };
         let expected = self.latency.expected_latency(work, now);
         let deadline = (now + incoming.time_remaining).min(self.shutdown_deadline);
         let request = Request {
             route,
             idempotency_key: incoming.idempotency_key.map(String::from),
-            cost: cost.cost,
+            cost: cost_and_value.cost,
             arrived_at: now,
             deadline,
             objective_deadline: deadline.min(now + settings.latency_objective),
-            priority_level: self.priorities.level(settings, cost, expected),
+            priority_level: self.priorities.level(settings, cost_and_value, expected),
             finished: false,
             crash_suspect: None,
             query_of_death: false,
@@ -191,7 +191,7 @@
             };
             self.key_builds.record(request, answer, &self.context);
         }
-        if !attempt.evidence_recorded() {
+        if !attempt.evidence_complete() {
             self.record_evidence(id, outcome, duration);
         }
         let endpoint = self.endpoints.with_class(index);
@@ -385,9 +385,10 @@
             self.exposure.restart_counting(applies_from);
         }
         if change.is_new_build {
-            let rate = self.fleet_comparison.attempts_per_second(&self.context);
+            let attempts_per_second = self.fleet_comparison.attempts_per_second(&self.context);
             let in_service = self.health.in_service_count(&self.endpoints);
-            self.evaluator.begin_rollout(in_service, rate, now);
+            self.evaluator
+                .begin_rollout(in_service, attempts_per_second, now);
         }
         if status.phase == RolloutPhase::RollingBack {
             self.evaluator.discard_fleet_outcomes(now);
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -10,7 +10,7 @@
     pub(crate) hedge_due: bool,
     /// The attempt must not be recorded as evidence any more: it was recorded when it exceeded its
     /// time limit, or its request was already finished.
-    pub(crate) evidence_recorded: bool,
+    pub(crate) evidence_complete: bool,
 }
 
 /// State of an attempt.
@@ -19,7 +19,7 @@
     /// The attempt has been sent, and no part of a response has arrived.
     AwaitingResponse(AwaitingResponse),
     /// The response is streaming to the client; no time limit applies any more.
-    Streaming { evidence_recorded: bool },
+    Streaming { evidence_complete: bool },
     /// The attempt has ended.
     Finished { may_have_executed: bool },
 }
@@ -92,10 +92,10 @@
     }
 
     /// Returns whether the attempt must not be recorded as evidence any more.
-    pub(crate) fn evidence_recorded(&self) -> bool {
+    pub(crate) fn evidence_complete(&self) -> bool {
         match self.state {
-            AttemptState::AwaitingResponse(waiting) => waiting.evidence_recorded,
-            AttemptState::Streaming { evidence_recorded } => evidence_recorded,
+            AttemptState::AwaitingResponse(waiting) => waiting.evidence_complete,
+            AttemptState::Streaming { evidence_complete } => evidence_complete,
             AttemptState::Finished { .. } => true,
         }
     }
@@ -103,8 +103,8 @@
     /// Marks the response as streaming to the client.
     pub(super) fn start_streaming(&mut self) {
         if let AttemptState::AwaitingResponse(waiting) = self.state {
-            let evidence_recorded = waiting.evidence_recorded;
-            self.state = AttemptState::Streaming { evidence_recorded };
+            let evidence_complete = waiting.evidence_complete;
+            self.state = AttemptState::Streaming { evidence_complete };
         }
     }
 
