--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -46,7 +46,7 @@
     Never,
     /// Only while no baseline is known, because the fleet is not steady.
     IfUnknown,
-    /// Always.
+    /// Always, because the fleet is steady.
     Always,
 }
 
@@ -224,7 +224,7 @@
     }
 }
 
-/// The sums of one hardware class, as stored in snapshots.
+/// Sums of one hardware class that are saved in a snapshot: current slowdowns and baseline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassLatencyRecord {
     /// Sum of the current slowdowns and number of responses.
--- a/crates/policy/src/retries/key_builds.rs
+++ b/crates/policy/src/retries/key_builds.rs
@@ -1,5 +1,6 @@
 //! Latest build that answered each idempotency key, for deployments in which a key must not be sent
-//! to an earlier build than one that has already answered it.
+//! to an earlier build than one that has already answered it. A build answers a key when it
+//! responds to a request with that key, even if the response is lost in transit.
 
 use std::collections::BTreeMap;
 
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -33,7 +33,7 @@
     pub(crate) endpoint_is_unresponsive: bool,
     /// The attempt counts towards the total concurrency limit.
     pub(crate) counts_as_in_flight: bool,
-    /// The attempt must be recorded as timed out.
+    /// The attempt must be recorded as timed out, which happens at most once.
     pub(crate) has_timed_out: bool,
     /// The attempt must be cancelled, because its request is finished.
     pub(crate) must_be_cancelled: bool,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Determines the consequences of the age of an attempt, and updates its state when a hedged
-    /// attempt becomes due or when it must not be recorded as evidence again.
+    /// Determines the consequences of the age of an attempt. Updates the attempt's state when a
+    /// hedged attempt becomes due, or when the attempt must not be recorded as evidence any more.
     pub(crate) fn check(
         &self,
         attempt: &mut WaitingAttempt<'_>,
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -39,7 +39,7 @@
 pub(crate) struct EndpointObservation {
     /// Number of requests in flight at the endpoint.
     pub(crate) load: f64,
-    /// The usual latency of the request on the endpoint's hardware class, if known.
+    /// Baseline latency of the request on the endpoint's hardware class, if known.
     pub(crate) class_baseline: Option<ClassBaseline>,
     /// A lower bound on the fraction of its full capacity that the endpoint has reached.
     pub(crate) warm_up_fraction: f64,
@@ -53,9 +53,9 @@
     let load_when_sent = evidence.attempt.conditions.endpoint_load;
     let load = 1.0 + load_when_sent.max(endpoint.load);
     let baseline = endpoint.class_baseline?;
-    let usual_micros = baseline.latency.as_micros() / endpoint.warm_up_fraction;
+    let baseline_micros = baseline.latency.as_micros() / endpoint.warm_up_fraction;
     let factor = SLOW_FACTOR.max(LOAD_FACTOR * load / baseline.load);
-    Some(fractional_micros(evidence.latency) > usual_micros * factor)
+    Some(fractional_micros(evidence.latency) > baseline_micros * factor)
 }
 
 /// Deduplicates crashes of endpoints: a crash counts as one failure, however many attempts were in
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Returns the arm for the test. A prior of a few outcomes with a usual share of slow ones is
-    /// added, so that the share is sensible if there were few responses.
+    /// Returns the arm for the fleet slowdown test. [`PRIOR_OUTCOMES`] responses, of which
+    /// [`PRIOR_FAILURES`] are slow, are added as a prior, so that the share of slow ones is
+    /// plausible even if there were few responses.
     pub(super) fn arm_with_prior(&self) -> Arm {
         let mut arm = self.arm;
         arm.add(PRIOR_OUTCOMES, PRIOR_FAILURES);
--- a/crates/policy/src/rollout/outcome_table.rs
+++ b/crates/policy/src/rollout/outcome_table.rs
@@ -25,7 +25,7 @@
 }
 
 impl Evidence {
-    /// Sets the fleet before the rollout as the baseline of the fleet-wide test.
+    /// Sets the fleet before the rollout as the baseline of the fleet slowdown test.
     pub(super) fn set_fleet_baseline(&mut self, baseline: Arm) {
         self.tested[EvidenceTest::FleetSlowdown].baseline = baseline;
     }
@@ -138,7 +138,7 @@
     }
 
     /// Returns the responses of the endpoints with the smallest shares of slow responses, and
-    /// resets the counts of the fleet-wide test for all endpoints.
+    /// resets the counts of the fleet slowdown test for all endpoints.
     pub(super) fn drain_fleet_outcomes(&mut self, now: Timestamp) -> Arm {
         let mut by_endpoint = Vec::new();
         for counts in self.own.values_mut() {
@@ -151,7 +151,7 @@
         Arm::from_best_endpoints(by_endpoint, BEST_ENDPOINTS_FRACTION)
     }
 
-    /// Returns the evidence on the newest build, without the baseline of the fleet-wide test.
+    /// Returns the evidence on the newest build, without the baseline of the fleet slowdown test.
     pub(super) fn evidence(
         &mut self,
         newest: BuildNumber,
@@ -225,7 +225,7 @@
 #[derive(Default)]
 struct OwnEvidence {
     arms: EvidenceTestMap<Arms>,
-    /// Responses and the slow ones among them, by endpoint, for the fleet-wide test.
+    /// Responses and the slow ones among them, by endpoint, for the fleet slowdown test.
     by_endpoint: Vec<EndpointOutcomes>,
 }
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -104,8 +104,8 @@
     pub exposure_by_route: bool,
     /// Number of initial stages in which a build takes idempotent requests only.
     pub guarded_stages: u32,
-    /// Whether a request must not go to an earlier build than the latest that has answered its
-    /// idempotency key.
+    /// Whether a request must not go to an earlier build than the latest that has answered a
+    /// request with the same idempotency key.
     pub monotonic_key_builds: bool,
     /// Whether the platform advances the stages unless instances vote to hold.
     pub automatic_stages: bool,
