--- a/crates/policy/src/admission/concurrency_limit.rs
+++ b/crates/policy/src/admission/concurrency_limit.rs
@@ -8,15 +8,15 @@
 /// Time constant of the moving average of the share of slow responses.
 const SLOW_SHARE_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(1);
 /// A response counts as slow if its latency exceeds this fraction of its latency objective.
-const TARGET_LATENCY_RATIO: f64 = 0.25;
+const SLOW_LATENCY_RATIO: f64 = 0.25;
 /// The limit is congested while the share of slow responses exceeds this threshold.
 const CONGESTED_SLOW_SHARE: f64 = 0.5;
 /// A congested limit is multiplied by this factor.
 const DECREASE_FACTOR: f64 = 0.8;
-/// An idle limit is lowered to this multiple of the attempts in flight, plus
-/// [`HEADROOM_ATTEMPTS`].
+/// A limit is idle if it exceeds this multiple of the attempts in flight plus
+/// [`HEADROOM_ATTEMPTS`]. It is lowered towards that value.
 const HEADROOM_FACTOR: f64 = 2.0;
-/// Attempts added to the scaled number of attempts in flight.
+/// Number of attempts that is added to [`HEADROOM_FACTOR`] times the attempts in flight.
 const HEADROOM_ATTEMPTS: f64 = 4.0;
 /// A limit is saturated while it leaves room for at most this many further attempts.
 const SATURATION_MARGIN: f64 = 2.0;
@@ -28,7 +28,7 @@
 /// Input to a concurrency limit: a latency relative to its objective and the concurrent load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LimitSample {
-    /// Latency as a fraction of the objective.
+    /// Latency divided by the objective.
     pub(super) ratio: f64,
     /// Latency objective of the route.
     pub(super) objective: Duration,
@@ -76,7 +76,7 @@
     /// Adapts the limit to the result of an attempt. A saturated limit increases while there is no
     /// congestion. A congested limit decreases at most once per half latency objective.
     pub(super) fn record(&mut self, observed: LimitSample, now: Timestamp) {
-        let is_slow = observed.ratio > TARGET_LATENCY_RATIO;
+        let is_slow = observed.ratio > SLOW_LATENCY_RATIO;
         self.slow_responses.add(f64::from(is_slow), now);
         let is_congested = self.is_congested();
         if is_congested && now >= self.last_decreased_at + observed.objective / 2 {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns a limit that leaves headroom above the attempts in flight.
+/// Returns the value above which a limit counts as idle; see [`HEADROOM_FACTOR`].
 fn with_headroom(in_flight: f64) -> f64 {
     HEADROOM_FACTOR * in_flight + HEADROOM_ATTEMPTS
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,7 +1,8 @@
 //! The policy of one instance: composes its parts and runs them in order in each step.
 //!
-//! Each part owns its state and its decisions; this module passes the decisions of one part to the
-//! others. `events` handles events from the host, and `persistence` saves and restores snapshots.
+//! Each part, such as the health checker or the rollout evaluator, owns its state and decisions.
+//! This module passes the decisions of one part to the others. `events` handles events from the
+//! host, and `persistence` saves and restores snapshots.
 
 mod events;
 mod persistence;
@@ -273,7 +274,7 @@
             if is_warm && !self.health.is_ejected(index) {
                 let class = endpoint.hardware_class;
                 self.slow_start
-                    .record_ready_time(class, EVALUATION_INTERVAL, now);
+                    .record_time_in_service(class, EVALUATION_INTERVAL, now);
             }
         }
     }
--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use super::{Balancer, TimedOutAttempt};
-use crate::admission::{LatencyObservation, RequestCost};
+use crate::admission::{CostAndValue, LatencyObservation};
 use crate::endpoints::EndpointUpdate;
 use crate::health::{EndpointOutcome, HealthChange};
 use crate::latency::{BaselineLearning, LatencySample, RequestWork};
 use crate::requests::{Attempt, Request};
 use crate::retries::{PossibleAnswer, may_write};
-use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedAnswer, RolloutView};
+use crate::rollout::{AttemptEvidence, EndpointObservation, FlaggedResponse, RolloutView};
 use crate::statistics::WindowKey;
 use crate::types::{
     AttemptId, AttemptOutcome, AttemptResult, EndpointEntry, EndpointIndex, HardwareClassIndex,
@@ -92,21 +92,21 @@
         self.exposure.record_request(route, now);
         self.slow_start.record_arrival(now);
         let settings = &self.context.settings.routes[route.get()];
-        let cost = RequestCost::new(settings, incoming.cost_hint);
+        let cost_and_value = CostAndValue::new(settings, incoming.cost_hint);
         let work = RequestWork {
             route,
-            cost: cost.cost,
+            cost: cost_and_value.cost,
         };
         let expected = self.latency.expected_latency(work, now);
         let deadline = (now + incoming.time_remaining).min(self.shutdown_deadline);
         let request = Request {
             route,
             idempotency_key: incoming.idempotency_key.map(String::from),
-            cost: cost.cost,
+            cost: cost_and_value.cost,
             arrived_at: now,
             deadline,
             objective_deadline: deadline.min(now + settings.latency_objective),
-            priority_level: self.priorities.level(settings, cost, expected),
+            priority_level: self.priorities.level(settings, cost_and_value, expected),
             finished: false,
             crash_suspect: None,
             query_of_death: false,
@@ -131,7 +131,8 @@
         if !may_write {
             return false;
         }
-        // Rule 5 counts an attempt from the time at which it is written.
+        // The limit on traffic to builds under evaluation (rule 5) counts an attempt from the time
+        // at which it is written.
         let key = WindowKey {
             build,
             route: request.route,
@@ -190,7 +191,7 @@
             };
             self.key_builds.record(request, answer, &self.context);
         }
-        if !attempt.evidence_recorded() {
+        if !attempt.evidence_complete() {
             self.record_evidence(id, outcome, duration);
         }
         let endpoint = self.endpoints.with_class(index);
@@ -219,9 +220,9 @@
         }
     }
 
-    /// Records an attempt that has timed out. If a hedged request is due for it, its age is
-    /// recorded as a latency, because latencies would be underestimated if only completed responses
-    /// were measured.
+    /// Records an attempt that has timed out. If it is due to be hedged, its age is recorded as a
+    /// latency, because latencies would be underestimated if only completed responses were
+    /// measured.
     pub(super) fn record_timed_out(&mut self, timed_out: TimedOutAttempt) {
         let TimedOutAttempt { id, age } = timed_out;
         self.record_evidence(id, AttemptOutcome::TimedOut, age);
@@ -290,7 +291,7 @@
         self.latency.record(&sample, learning, now);
     }
 
-    /// Returns whether the latency of an attempt may update the baselines.
+    /// Returns under which condition the latency of an attempt may update the baselines.
     fn baseline_learning(&self, attempt: &Attempt) -> BaselineLearning {
         let build = attempt.process.build;
         let is_under_evaluation = self.rollout.is_under_evaluation(build, &self.endpoints);
@@ -384,9 +385,10 @@
             self.exposure.restart_counting(applies_from);
         }
         if change.is_new_build {
-            let rate = self.fleet_comparison.attempts_per_second(&self.context);
+            let attempts_per_second = self.fleet_comparison.attempts_per_second(&self.context);
             let in_service = self.health.in_service_count(&self.endpoints);
-            self.evaluator.begin_rollout(in_service, rate, now);
+            self.evaluator
+                .begin_rollout(in_service, attempts_per_second, now);
         }
         if status.phase == RolloutPhase::RollingBack {
             self.evaluator.discard_fleet_outcomes(now);
@@ -398,17 +400,17 @@
         self.votes.record_result(result, self.context.now);
     }
 
-    /// Records an answer that an endpoint sent `age` ago and that a client has flagged as faulty,
+    /// Records a response that an endpoint sent `age` ago and that a client has flagged as wrong,
     /// as a failure of the endpoint's build. An unknown endpoint is ignored.
-    pub fn on_answer_flagged(&mut self, name: &str, age: Duration) {
+    pub fn on_response_flagged(&mut self, name: &str, age: Duration) {
         if let Some(endpoint) = self.endpoints.find(name) {
             let now = self.context.now;
-            let answer = FlaggedAnswer {
+            let flagged = FlaggedResponse {
                 endpoint,
                 process: self.endpoints[endpoint].process,
-                answered_at: now - age,
+                responded_at: now - age,
             };
-            self.evaluator.record_flagged_answer(answer, now);
+            self.evaluator.record_flagged_response(flagged, now);
         }
     }
 }
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -29,7 +29,7 @@
 /// A measured latency and the conditions of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencySample {
-    /// The endpoint that responded.
+    /// The endpoint to which the attempt was sent.
     pub(crate) endpoint: EndpointWithClass,
     /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
@@ -39,14 +39,14 @@
     pub(crate) endpoint_load: f64,
 }
 
-/// Whether a latency sample may change the baselines.
+/// Condition under which a latency sample may change the baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BaselineLearning {
     /// Never, because the endpoint is warming up or its build is under evaluation.
     Never,
     /// Only while no baseline is known, because the fleet is not steady.
     IfUnknown,
-    /// Always.
+    /// Always, because the fleet is steady.
     Always,
 }
 
@@ -224,7 +224,7 @@
     }
 }
 
-/// The sums of one hardware class, as stored in snapshots.
+/// Sums of one hardware class that are saved in a snapshot: current slowdowns and baseline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClassLatencyRecord {
     /// Sum of the current slowdowns and number of responses.
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -24,14 +24,14 @@
     BuildNumber, EndpointIndex, EvidenceTest, RollbackVerdict, StageIndex, Timestamp,
 };
 
-/// An answer that a client has flagged as faulty after receiving it.
+/// A response that a client has flagged as wrong after receiving it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FlaggedAnswer {
-    /// The endpoint that sent the answer.
+pub(crate) struct FlaggedResponse {
+    /// The endpoint that sent the response.
     pub(crate) endpoint: EndpointIndex,
     /// The process that runs at the endpoint now.
     pub(crate) process: Process,
-    pub(crate) answered_at: Timestamp,
+    pub(crate) responded_at: Timestamp,
 }
 
 /// A build that the evaluation has rejected.
@@ -45,11 +45,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RestoredRejection {
     build: BuildNumber,
-    /// The build is held until this time because of the earlier rejection.
+    /// When the rejection expires.
     until: Timestamp,
 }
 
-/// A build and the stage at which its hold has been released.
+/// A build, and a stage at which this instance no longer holds it: it may advance from this stage
+/// even if a test has a positive score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReleasedHold {
     build: BuildNumber,
@@ -59,8 +60,10 @@
 /// The result of the last evaluation of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assessment {
+    /// This instance has rejected the build since it started.
     pub(crate) is_rejected: bool,
-    /// No test had a positive score, or the hold has been released.
+    /// No test had a positive score, or the hold has been released. Otherwise this instance holds
+    /// the build: it keeps the build at its present stage.
     pub(crate) may_advance: bool,
 }
 
@@ -76,7 +79,7 @@
     restored_rejection: Option<RestoredRejection>,
     released_hold: Option<ReleasedHold>,
     /// At least one test had a positive score in the last evaluation, or the build was rejected
-    /// before a restart.
+    /// before a restart. The build is then held at its present stage until the hold is released.
     score_is_positive: bool,
 }
 
@@ -102,16 +105,16 @@
         }
     }
 
-    /// Records an answer that a client has flagged. It adds a failure but no outcome, because the
+    /// Records a response that a client has flagged. It adds a failure but no outcome, because the
     /// outcome was counted when the attempt ended.
-    pub(crate) fn record_flagged_answer(&mut self, answer: FlaggedAnswer, now: Timestamp) {
-        let started_at = answer.process.started_at.unwrap_or_default();
-        if answer.answered_at < started_at + START_UP_GRACE_PERIOD {
+    pub(crate) fn record_flagged_response(&mut self, flagged: FlaggedResponse, now: Timestamp) {
+        let started_at = flagged.process.started_at.unwrap_or_default();
+        if flagged.responded_at < started_at + START_UP_GRACE_PERIOD {
             return;
         }
         let key = OutcomeKey {
-            build: answer.process.build,
-            endpoint: answer.endpoint,
+            build: flagged.process.build,
+            endpoint: flagged.endpoint,
         };
         for test in [EvidenceTest::Failures, EvidenceTest::Errors] {
             self.outcomes.record_late_failure(key, test, now);
@@ -202,8 +205,8 @@
                 verdict = Some(rollback_verdict(rollout, result, &evidence, fleet));
             }
             self.score_is_positive |= score > 0.0;
-            let is_failures = test == EvidenceTest::Failures;
-            releases_hold |= is_failures && scores.minimum_effect <= bounds.lower;
+            let is_failures_test = test == EvidenceTest::Failures;
+            releases_hold |= is_failures_test && scores.minimum_effect <= bounds.lower;
         }
         if releases_hold {
             self.release_hold(rollout);
@@ -297,7 +300,7 @@
     }
 }
 
-/// Returns the margin that accounts for the number of instances that vote.
+/// Returns the margin by which a score must exceed the upper bound because many instances vote.
 fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
--- a/crates/policy/src/rollout/fleet_baseline.rs
+++ b/crates/policy/src/rollout/fleet_baseline.rs
@@ -9,7 +9,7 @@
 use crate::step_context::StepContext;
 use crate::types::Timestamp;
 
-/// Time constant over which the rate of attempts is averaged.
+/// Time constant of the exponentially weighted rate of attempts.
 const ATTEMPTS_TIME_CONSTANT: TimeConstant = TimeConstant::from_secs(5);
 /// The shortest time over which the rate of attempts is computed.
 const MIN_ATTEMPTS_LIFETIME: Duration = Duration::from_secs(1);
@@ -17,7 +17,8 @@
 /// least this many tenths of the number at the time of the baseline.
 const MIN_ENDPOINT_TENTHS: usize = 9;
 /// The fleet is comparable with its baseline only while this instance sends attempts at no more
-/// than this multiple of its rate at the time of the baseline, plus a tolerance for sampling error.
+/// than this multiple of its rate at the time of the baseline, plus two standard errors of that
+/// rate.
 const MAX_RATE_FACTOR: f64 = 1.2;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Returns the arm for the test. A prior of a few outcomes with a usual share of slow ones is
-    /// added, so that the share is sensible if there were few responses.
+    /// Returns the arm for the fleet slowdown test. [`PRIOR_OUTCOMES`] responses, of which
+    /// [`PRIOR_FAILURES`] are slow, are added as a prior, so that the share of slow ones is
+    /// plausible even if there were few responses.
     pub(super) fn arm_with_prior(&self) -> Arm {
         let mut arm = self.arm;
         arm.add(PRIOR_OUTCOMES, PRIOR_FAILURES);
@@ -66,6 +68,8 @@
     /// Returns whether the endpoints in service and the rate at which this instance sends attempts
     /// are comparable with the baseline.
     fn is_comparable(&self, in_service: InServiceCounts, attempts_per_second: f64) -> bool {
+        // The variance of an exponentially weighted rate of independent events is the rate divided
+        // by twice the time constant in seconds.
         let scaled_rate =
             self.attempts_per_second * MICROS_PER_SECOND / ATTEMPTS_TIME_CONSTANT.as_micros();
         let sampling_error = 2.0 * (scaled_rate / 2.0).sqrt();
--- a/crates/policy/src/statistics/outcome_counts.rs
+++ b/crates/policy/src/statistics/outcome_counts.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeCounts {
     updated_at: Timestamp,
-    /// All outcomes that are evidence in the test.
+    /// Number of outcomes that are evidence in each test.
     pub outcomes: EvidenceTestMap<f64>,
-    /// The outcomes that are failures in the test.
+    /// Number of outcomes that are failures in each test.
     pub failures: EvidenceTestMap<f64>,
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Returns the outcomes of one test and the failures among them. There are never more failures
-    /// than outcomes, even if a flagged answer was recorded here without its outcome.
+    /// than outcomes, even if a flagged response was recorded here without its outcome.
     pub fn for_test(&self, test: EvidenceTest) -> EndpointOutcomes {
         let outcomes = self.outcomes[test];
         let failures = self.failures[test].min(outcomes);
