--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -108,7 +108,7 @@
     /// No more bytes are available for now.
     WouldBlock,
     /// The chain holds the requested number of bytes. There may be more to read.
-    Complete,
+    Filled,
     /// The pool has no free buffer.
     PoolExhausted,
     /// The peer has finished sending.
@@ -231,7 +231,7 @@
                 }
             }
         }
-        Ok(FillStatus::Complete)
+        Ok(FillStatus::Filled)
     }
 
     /// Writes as many bytes as `to` accepts, and removes them from the chain.
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -123,7 +123,7 @@
 
     /// Returns the number of requests whose client waits for a response or that have an attempt in
     /// flight.
-    pub fn open_request_count(&self) -> usize {
+    pub fn pending_request_count(&self) -> usize {
         self.requests.len()
     }
 
@@ -137,12 +137,12 @@
 
     /// Takes the keys of the connections that this iteration has to handle, sorted and without
     /// duplicates.
-    pub fn take_pending(&mut self) -> Vec<ClientKey> {
-        let mut pending = std::mem::take(&mut self.scheduled);
-        pending.append(&mut self.waiting_for_buffers);
-        pending.sort_unstable();
-        pending.dedup();
-        pending
+    pub fn take_scheduled(&mut self) -> Vec<ClientKey> {
+        let mut keys = std::mem::take(&mut self.scheduled);
+        keys.append(&mut self.waiting_for_buffers);
+        keys.sort_unstable();
+        keys.dedup();
+        keys
     }
 
     /// Returns a pending request, or `None` if it has finished.
@@ -170,8 +170,8 @@
 
     /// Whether nothing is pending for any client: no client waits for a response, all output is
     /// written, no message is incomplete or unread, and no connection waits to be accepted.
-    pub fn is_idle(&self) -> bool {
-        let is_pending = |client: &ClientConnection| match client.stage() {
+    pub fn has_finished_all_work(&self) -> bool {
+        let has_unfinished_work = |client: &ClientConnection| match client.stage() {
             Stage::AwaitingResponse | Stage::Writing | Stage::ReceivingMessage => true,
             Stage::Closing => !client.connection.output.is_empty(),
             Stage::Opening | Stage::AwaitingFirstRequest | Stage::Idle => {
@@ -183,6 +183,6 @@
             && !self
                 .connections
                 .iter()
-                .any(|(_, client)| is_pending(client))
+                .any(|(_, client)| has_unfinished_work(client))
     }
 }
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -26,17 +26,20 @@
     pub time_limit_range: Range<usize>,
     /// The connection that each attempt is in flight on, by the index of the attempt; `None` if it
     /// is not in flight.
-    pub attempts: Vec<Option<EndpointConnectionKey>>,
+    pub attempt_connections: Vec<Option<EndpointConnectionKey>>,
 }
 
 impl PendingRequest {
     /// Returns the connection that an attempt is in flight on.
     pub fn attempt_connection(&self, id: AttemptId) -> Option<EndpointConnectionKey> {
-        self.attempts.get(id.index.get()).copied().flatten()
+        self.attempt_connections
+            .get(id.index.get())
+            .copied()
+            .flatten()
     }
 
     fn is_finished(&self) -> bool {
-        self.client.is_none() && self.attempts.iter().all(Option::is_none)
+        self.client.is_none() && self.attempt_connections.iter().all(Option::is_none)
     }
 }
 
@@ -94,7 +97,7 @@
         let attempt = self
             .requests
             .get_mut(id.request)
-            .and_then(|request| request.attempts.get_mut(id.index.get()));
+            .and_then(|request| request.attempt_connections.get_mut(id.index.get()));
         if let Some(connection) = attempt {
             *connection = None;
         }
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -91,7 +91,7 @@
         match read? {
             FillStatus::EndOfStream => Err(io::ErrorKind::UnexpectedEof.into()),
             // The read stopped at the read-ahead limit, before the end of the stream.
-            FillStatus::Complete if client.connection.has_hung_up() => {
+            FillStatus::Filled if client.connection.has_hung_up() => {
                 Err(io::ErrorKind::UnexpectedEof.into())
             }
             status => Ok(status),
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -55,7 +55,7 @@
             is_repeatable: self.is_repeatable,
             statement,
             time_limit_range: self.statement.time_limit_range.clone(),
-            attempts: Vec::new(),
+            attempt_connections: Vec::new(),
         }
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -55,7 +55,7 @@
     /// The seed of the random number generators.
     pub seed: u64,
     /// The memory limit of the process, in MiB.
-    pub memory_mb: usize,
+    pub memory_mib: usize,
     /// The maximum number of file descriptors that the process may open.
     pub descriptor_limit: usize,
     /// The initial rollout status, used until the platform sends a newer one.
@@ -84,7 +84,8 @@
 
 #[derive(Deserialize)]
 struct Limits {
-    memory_mb: usize,
+    #[serde(rename = "memory_mb")]
+    memory_mib: usize,
     sockets: usize,
 }
 
@@ -125,7 +126,7 @@
         discovery: file.discovery,
         platform: file.pipeline.address,
         seed,
-        memory_mb: file.limits.memory_mb,
+        memory_mib: file.limits.memory_mib,
         descriptor_limit: file.limits.sockets,
         rollout_status: file.pipeline.rollout_status,
         known_endpoints: file.known_endpoints,
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -107,7 +107,7 @@
             return Ok(FillStatus::WouldBlock);
         }
         let status = self.input.fill(&mut &*self.socket, wanted_bytes)?;
-        self.readable = matches!(status, FillStatus::Complete | FillStatus::PoolExhausted);
+        self.readable = matches!(status, FillStatus::Filled | FillStatus::PoolExhausted);
         Ok(status)
     }
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -101,7 +101,7 @@
         })?;
         let clock = Clock::start();
         let now = clock.now();
-        let buffers = BufferBudget::split(config.memory_mb);
+        let buffers = BufferBudget::split(config.memory_mib);
         let context = IoContext {
             handle: event_loop.handle(),
             endpoint_pool: buffers.endpoints,
@@ -165,7 +165,7 @@
         self.wait_for_events(&schedule)?;
         let started = Instant::now();
         self.step();
-        self.write_snapshot_slice();
+        self.run_snapshot_slice();
         self.longest_iteration = self.longest_iteration.max(started.elapsed());
         Ok(if self.proxy.borrow_mut().is_finished() {
             LoopState::Finished
@@ -237,7 +237,7 @@
         now
     }
 
-    fn write_snapshot_slice(&mut self) {
+    fn run_snapshot_slice(&mut self) {
         if let Some(writer) = &mut self.snapshot_writer {
             let now = self.clock.now();
             writer.run_slice(
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -123,7 +123,10 @@
     /// Whether the process has to exit. Called at the end of each iteration.
     pub(crate) fn is_finished(&mut self) -> bool {
         let clients = &self.clients;
-        match self.shutdown.step(self.context.now, || clients.is_idle()) {
+        match self
+            .shutdown
+            .step(self.context.now, || clients.has_finished_all_work())
+        {
             ShutdownStep::Continue => false,
             ShutdownStep::AcceptOnceMore => {
                 self.clients.on_accept_ready();
@@ -181,7 +184,7 @@
         let Some(times) = self.shutdown.begin(self.context.now) else {
             return;
         };
-        log_lines::stopping(&self.context.log, self.clients.open_request_count());
+        log_lines::stopping(&self.context.log, self.clients.pending_request_count());
         self.clients.begin_shutdown();
         self.upstream
             .begin_shutdown(times.attempt_deadline, &mut self.context);
@@ -220,7 +223,7 @@
         owners.push(Owner::only(Component::RolloutStatus));
         owners.extend(
             self.upstream
-                .take_pending()
+                .take_scheduled()
                 .into_iter()
                 .map(Owner::endpoint),
         );
@@ -250,7 +253,7 @@
     }
 
     fn serve_clients(&mut self, policy: &mut Balancer) {
-        for key in self.clients.take_pending() {
+        for key in self.clients.take_scheduled() {
             let owner = Owner::client(key);
             self.run_isolated(owner, policy, |proxy, policy| proxy.serve(owner, policy));
         }
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -60,9 +60,9 @@
 
 impl BufferBudget {
     /// Splits the part of the process's memory limit, in MiB, that buffers may use.
-    pub fn split(memory_mb: usize) -> BufferBudget {
+    pub fn split(memory_mib: usize) -> BufferBudget {
         let buffers =
-            memory_mb.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_BYTES;
+            memory_mib.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_BYTES;
         let for_clients = buffers / 2;
         let for_endpoints = buffers.saturating_sub(for_clients + CONTROL_BUFFERS);
         BufferBudget {
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -50,8 +50,8 @@
     fn receive(&mut self) -> Received {
         let mut any_bytes = false;
         let mut response = Ok(());
-        let mut last_read = Ok(FillStatus::Complete);
-        while matches!(last_read, Ok(FillStatus::Complete)) && response.is_ok() {
+        let mut last_read = Ok(FillStatus::Filled);
+        while matches!(last_read, Ok(FillStatus::Filled)) && response.is_ok() {
             last_read = self.connection.read(READ_AHEAD_BYTES);
             any_bytes |= !self.connection.input.is_empty();
             response = self.response.read(&mut self.connection.input);
@@ -246,6 +246,6 @@
     match last_read? {
         FillStatus::EndOfStream => Err(StreamError::Closed),
         _ if is_complete => Err(StreamError::Complete),
-        FillStatus::WouldBlock | FillStatus::Complete | FillStatus::PoolExhausted => Ok(()),
+        FillStatus::WouldBlock | FillStatus::Filled | FillStatus::PoolExhausted => Ok(()),
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -124,7 +124,7 @@
     /// the next iteration of the event loop.
     ended: Vec<EndedExchange>,
     /// Connections with more to read than was read in this iteration.
-    pending: Vec<EndpointConnectionKey>,
+    scheduled: Vec<EndpointConnectionKey>,
     /// When a reused connection was last lost after its request had been written and before any
     /// part of the response.
     last_stale_at: Option<Timestamp>,
@@ -139,14 +139,15 @@
             connections: Slots::new(max_connections),
             settings,
             ended: Vec::new(),
-            pending: Vec::new(),
+            scheduled: Vec::new(),
             last_stale_at: None,
         }
     }
 
     /// Whether there is work to do without waiting for an event.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
-        !self.ended.is_empty() || !self.pending.is_empty() && !context.endpoint_pool.is_exhausted()
+        !self.ended.is_empty()
+            || !self.scheduled.is_empty() && !context.endpoint_pool.is_exhausted()
     }
 
     /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
@@ -211,8 +212,8 @@
     }
 
     /// Takes the connections with more to read than was read in the last iteration.
-    pub fn take_pending(&mut self) -> Vec<EndpointConnectionKey> {
-        std::mem::take(&mut self.pending)
+    pub fn take_scheduled(&mut self) -> Vec<EndpointConnectionKey> {
+        std::mem::take(&mut self.scheduled)
     }
 
     /// Limits the deadlines of all exchanges in flight to `deadline`.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the exchange, unless its outcome is known already.
-    pub(super) fn open_exchange(&mut self) -> Option<&mut Exchange> {
+    pub(super) fn exchange_without_outcome(&mut self) -> Option<&mut Exchange> {
         self.exchange_mut()
             .filter(|exchange| exchange.outcome.is_none())
     }
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -40,7 +40,7 @@
         };
         let read = connection.connection.read(READ_AHEAD_BYTES);
         if matches!(read, Ok(FillStatus::PoolExhausted)) {
-            self.pending.push(key);
+            self.scheduled.push(key);
         }
         let handled = self.handle_messages(key, context);
         self.finish_completed(key, context);
@@ -63,7 +63,7 @@
         context: &mut ExchangeContext<'_>,
     ) {
         match read {
-            Ok(FillStatus::Complete) => self.pending.push(key),
+            Ok(FillStatus::Filled) => self.scheduled.push(key),
             Ok(FillStatus::EndOfStream) => {
                 self.fail(key, AttemptErrorCause::ConnectionClosed, context);
             }
@@ -163,7 +163,7 @@
             return Ok(QueryReadiness::NotReady);
         };
         if !connection.is_connecting() {
-            return if connection.open_exchange().is_some() {
+            return if connection.exchange_without_outcome().is_some() {
                 Err(ResponseError::Missing)
             } else {
                 Ok(QueryReadiness::Ready)
@@ -172,7 +172,7 @@
         connection.finish_connecting();
         // The policy may no longer allow the attempt that it started before the connection was
         // established.
-        if let Some(exchange) = connection.open_exchange()
+        if let Some(exchange) = connection.exchange_without_outcome()
             && let ExchangeKind::Attempt(id) = exchange.kind
             && !context.may_still_write(id)
         {
@@ -223,7 +223,7 @@
         _ if connection.is_connecting() => AttemptOutcome::Refused,
         outcome => outcome,
     };
-    if let Some(exchange) = connection.open_exchange() {
+    if let Some(exchange) = connection.exchange_without_outcome() {
         exchange.outcome = Some(outcome);
     }
     Ok(())
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -30,7 +30,7 @@
         }
         let connection = self.start_exchange(new, context, clients);
         if let Some(pending) = clients.request(id.request) {
-            pending.attempts.push(connection);
+            pending.attempt_connections.push(connection);
         }
     }
 
@@ -118,13 +118,13 @@
             return Some(());
         };
         let kind = exchange.kind;
-        let wait = (exchange.deadline - context.now).max(MIN_STATEMENT_TIMEOUT);
+        let time_limit = (exchange.deadline - context.now).max(MIN_STATEMENT_TIMEOUT);
         let output = &mut connection.connection.output;
         match kind {
             ExchangeKind::Attempt(id) => {
                 let pending = clients.request(id.request)?;
                 let statement = &pending.statement;
-                postgres::put_statement(output, statement, &pending.time_limit_range, wait);
+                postgres::put_statement(output, statement, &pending.time_limit_range, time_limit);
             }
             ExchangeKind::HealthCheck => postgres::put_query(output, health_check.text()),
         }
