--- a/crates/proxy/src/cli/snapshot_command.rs
+++ b/crates/proxy/src/cli/snapshot_command.rs
@@ -61,29 +61,29 @@
 }
 
 fn show(path: &Path, print: fn(&Snapshot, Timestamp)) -> Result<ExitCode, CliError> {
-    let opened = read_newest(path)?;
-    for file in &opened.unusable_files {
+    let contents = read_newest(path)?;
+    for file in &contents.unusable_files {
         eprintln!("tidescale: {file}");
     }
-    let Some(snapshot) = opened.snapshot else {
+    let Some(snapshot) = contents.snapshot else {
         return Err(CliError::NoSnapshot(path.into()));
     };
     print(&snapshot, now());
-    Ok(exit_code(opened.unusable_files.is_empty()))
+    Ok(exit_code(contents.unusable_files.is_empty()))
 }
 
 fn check(path: &Path) -> Result<ExitCode, CliError> {
-    let opened = read_newest(path)?;
-    for file in &opened.unusable_files {
+    let contents = read_newest(path)?;
+    for file in &contents.unusable_files {
         println!("{file}");
     }
-    let Some(snapshot) = opened.snapshot else {
+    let Some(snapshot) = contents.snapshot else {
         println!("no whole snapshot");
         return Ok(ExitCode::FAILURE);
     };
     let (sequence, count) = (snapshot.sequence, snapshot.records.len());
     println!("snapshot {sequence} is whole, {count} records");
-    Ok(exit_code(opened.unusable_files.is_empty()))
+    Ok(exit_code(contents.unusable_files.is_empty()))
 }
 
 fn clear(path: &Path) -> Result<ExitCode, CliError> {
@@ -119,16 +119,16 @@
         path: path.into(),
         source,
     })?;
-    let mut opened = StoreContents::default();
+    let mut contents = StoreContents::default();
     match format::decode(&bytes) {
-        Ok(snapshot) => opened.snapshot = Some(snapshot),
-        Err(error) => opened.unusable_files.push(UnusableFile {
+        Ok(snapshot) => contents.snapshot = Some(snapshot),
+        Err(error) => contents.unusable_files.push(UnusableFile {
             name: path.display().to_string(),
             error: error.into(),
             quarantine: Quarantine::NotAttempted,
         }),
     }
-    Ok(opened)
+    Ok(contents)
 }
 
 /// Reads at most [`format::READ_LIMIT`] bytes of the file, which suffice to decode it or to find
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -113,12 +113,12 @@
     fn first_to_evict(&self, context: &IoContext) -> Option<StageEntry> {
         let latest = context.now - MIN_STAGE_AGE;
         // A connection with unread bytes is kept: the bytes may be a complete request.
-        let has_sent_nothing = |entry: &StageEntry| {
+        let may_be_evicted = |entry: &StageEntry| {
             self.connections
                 .get(entry.connection)
                 .is_some_and(|client| client.is_closing() || client.connection.read_would_block())
         };
-        self.stages.eviction_order(latest).find(has_sent_nothing)
+        self.stages.eviction_order(latest).find(may_be_evicted)
     }
 }
 
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -66,14 +66,14 @@
 
     /// Returns the stage, derived from the state and the buffers.
     pub(super) fn stage(&self) -> Stage {
-        let has_unwritten = !self.connection.output.is_empty();
-        let has_unused = !self.connection.input.is_empty();
+        let has_unwritten_output = !self.connection.output.is_empty();
+        let has_unhandled_input = !self.connection.input.is_empty();
         match self.state {
             ClientState::Closing { .. } => Stage::Closing,
-            _ if has_unwritten => Stage::Writing,
+            _ if has_unwritten_output => Stage::Writing,
             ClientState::AwaitingResponse { .. } => Stage::AwaitingResponse,
             ClientState::Opening { .. } => Stage::Opening,
-            _ if has_unused => Stage::ReceivingMessage,
+            _ if has_unhandled_input => Stage::ReceivingMessage,
             ClientState::AwaitingFirstRequest { .. } => Stage::AwaitingFirstRequest,
             ClientState::Idle | ClientState::SkippingToSync => Stage::Idle,
         }
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -59,7 +59,7 @@
     /// Without the limit on idle connections, clients that send one request and never close their
     /// connection would use up all file descriptors.
     fn close_longest_idle(&mut self, context: &mut EventContext<'_>) -> bool {
-        let has_sent_nothing = |key: &ClientKey| {
+        let has_no_unread_input = |key: &ClientKey| {
             self.connections
                 .get(*key)
                 .is_some_and(|client| client.connection.read_would_block())
@@ -68,7 +68,7 @@
         let longest = self
             .stages
             .entered_stage_before(Stage::Idle, latest)
-            .find(has_sent_nothing);
+            .find(has_no_unread_input);
         let Some(key) = longest else {
             return false;
         };
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -152,18 +152,18 @@
 
     /// Reads from the stream and applies the received lists.
     pub fn serve(&mut self, upstream: &mut Upstream, context: &mut EventContext<'_>) {
-        let progress = &mut self.list;
+        let list_state = &mut self.list;
         let policy = &mut *context.policy;
         let on_line = |line: &str, partial: &mut String, io: &mut IoContext| {
-            progress.confirmed_at = io.now;
+            list_state.confirmed_at = io.now;
             let Some(list) = endpoint_list::add_line(partial, line)? else {
                 return Ok::<(), LineError>(());
             };
-            if progress.accepts(&list, io.now) {
-                progress.advance(list.version, io.now);
+            if list_state.accepts(&list, io.now) {
+                list_state.advance(list.version, io.now);
                 apply(&list, upstream, &mut EventContext { io, policy });
             } else {
-                let current_version = progress.version;
+                let current_version = list_state.version;
                 log_lines::stale_endpoint_list_ignored(&io.log, list.version, current_version);
             }
             Ok(())
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -177,25 +177,25 @@
 fn check_bounds(settings: &SnapshotSettings) -> Result<(), OperatorSettingsError> {
     let millis = Duration::from_millis;
     let duration = |value| humantime::format_duration(value);
-    check(
+    check_field(
         "memory.every",
         settings.write_interval,
         millis(100)..=Duration::from_secs(3600),
         duration,
     )?;
-    check(
+    check_field(
         "memory.stop_within",
         settings.final_write_timeout,
         Duration::ZERO..=Duration::from_secs(5),
         duration,
     )?;
-    check(
+    check_field(
         "memory.time_a_second",
         settings.loop_time_per_second,
         millis(1)..=millis(500),
         duration,
     )?;
-    check(
+    check_field(
         "memory.bytes_a_second",
         settings.bytes_per_second,
         ByteSize::kib(1)..=ByteSize::gib(1),
@@ -203,7 +203,7 @@
     )
 }
 
-fn check<T: Copy + PartialOrd, D: fmt::Display>(
+fn check_field<T: Copy + PartialOrd, D: fmt::Display>(
     field: &'static str,
     value: T,
     bounds: RangeInclusive<T>,
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -53,16 +53,16 @@
 #[derive(Debug)]
 pub struct Shutdown {
     state: State,
-    longest_request_deadline: Duration,
+    longest_time_limit: Duration,
 }
 
 impl Shutdown {
-    /// Creates a shutdown in the running state. `longest_request_deadline` is the longest time
+    /// Creates a shutdown in the running state. `longest_time_limit` is the longest time
     /// limit of a request.
-    pub fn new(longest_request_deadline: Duration) -> Shutdown {
+    pub fn new(longest_time_limit: Duration) -> Shutdown {
         Shutdown {
             state: State::Running,
-            longest_request_deadline,
+            longest_time_limit,
         }
     }
 
@@ -71,7 +71,7 @@
         if self.state != State::Running {
             return None;
         }
-        let request_wait = self.longest_request_deadline.min(MAX_REQUEST_WAIT);
+        let request_wait = self.longest_time_limit.min(MAX_REQUEST_WAIT);
         let attempt_deadline = now + request_wait + ACCEPT_PERIOD - KILL_MARGIN;
         let times = DrainTimes {
             accept_until: now + ACCEPT_PERIOD,
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -78,8 +78,8 @@
                 return None;
             }
         };
-        let (store, opened) = Store::open(directory);
-        for file in &opened.unusable_files {
+        let (store, contents) = Store::open(directory);
+        for file in &contents.unusable_files {
             log_lines::snapshot_file_quarantined(&log, file);
         }
         let background = match BackgroundWriter::start(store) {
@@ -105,7 +105,7 @@
             longest_slice: Duration::ZERO,
             log,
         };
-        Some((writer, opened.snapshot))
+        Some((writer, contents.snapshot))
     }
 
     /// Handles the results of finished writes. Then collects one slice of records if the scheduler
