--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -13,10 +13,10 @@
 pub(super) enum ConnectionState {
     /// It is being established: the endpoint has not sent ReadyForQuery yet.
     Connecting {
-        /// The time limit for establishing the connection.
+        /// The time by which the connection has to be established.
         deadline: Timestamp,
-        /// The exchange to carry once the connection is established; `None` once the endpoint has
-        /// refused the connection.
+        /// The exchange to carry once the connection is established; `None` before one is assigned
+        /// and after the endpoint has refused the connection.
         exchange: Option<Exchange>,
     },
     /// It carries an attempt or a health check.
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Returns the earlier of `deadline` and, while the connection is being established, the time
-    /// limit for that.
+    /// Returns `deadline`, or the time by which the connection has to be established if it is still
+    /// being established and that time is earlier.
     pub(super) fn limit_by_connect_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.connect_deadline()
             .map_or(deadline, |at| at.min(deadline))
@@ -144,10 +144,9 @@
         body: &mut Vec<u8>,
         health_check: HealthCheckQuery,
     ) -> Result<(), ResponseError> {
+        let input = &mut self.connection.input;
         body.clear();
-        self.connection
-            .input
-            .copy_to(MESSAGE_HEADER_BYTES..frame.length, body);
+        input.copy_to(MESSAGE_HEADER_BYTES..frame.length, body);
         let exchange = match &mut self.state {
             ConnectionState::Busy(exchange) if exchange.outcome.is_none() => exchange,
             _ => return Err(ResponseError::Unrequested),
@@ -175,9 +174,7 @@
                 exchange.outcome = Some(AttemptOutcome::Succeeded);
             }
         }
-        self.connection
-            .input
-            .move_to(frame.length, &mut exchange.response);
+        input.move_to(frame.length, &mut exchange.response);
         Ok(())
     }
 }
