--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -198,7 +198,8 @@
         self.skip(count);
     }
 
-    /// Reads until the chain holds at least `wanted_bytes`.
+    /// Reads until the chain holds at least `wanted_bytes`, or for one of the other reasons of
+    /// [`FillStatus`] stops before.
     ///
     /// # Errors
     /// Any error of `from` except `Interrupted` and `WouldBlock`.
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -2,7 +2,7 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | `connection` | the state machine of one connection |
+//! | `connection` | the state of one connection and its limits on input |
 //! | `messages` | handling one message with the state of its own connection only |
 //! | [`arrivals`] | when the bytes of each request were received |
 //! | [`stages`] | the stage of each connection, its timeout, and the order of eviction |
@@ -121,8 +121,8 @@
             || !self.waiting_for_buffers.is_empty() && !context.client_pool.is_exhausted()
     }
 
-    /// Returns the number of requests whose client waits for a response or that have an attempt in
-    /// flight.
+    /// Returns the number of pending requests: those whose client waits for a response or that have
+    /// an attempt in flight.
     pub fn pending_request_count(&self) -> usize {
         self.requests.len()
     }
@@ -168,7 +168,7 @@
             .extend(self.connections.iter().map(|(key, _)| key));
     }
 
-    /// Whether nothing is pending for any client: no client waits for a response, all output is
+    /// Whether no work is left for any client: no client waits for a response, all output is
     /// written, no message is incomplete or unread, and no connection waits to be accepted.
     pub fn has_finished_all_work(&self) -> bool {
         let has_unfinished_work = |client: &ClientConnection| match client.stage() {
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -18,8 +18,8 @@
 /// connections does not delay the established ones.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
-/// Whether connections wait to be accepted. The listener is registered edge-triggered, so the event
-/// loop reports only the first of them.
+/// What is known about connections that wait to be accepted. The listener is registered
+/// edge-triggered, so the event loop reports only the first of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
     /// No connection waits.
@@ -28,8 +28,8 @@
     Ready,
     /// [`MAX_ACCEPTS_PER_ITERATION`] was reached; more connections may wait.
     BatchAccepted,
-    /// `accept` failed with an error that is not transient. The next iteration retries, but none is
-    /// scheduled for that.
+    /// `accept` failed with an error that is not transient. The next iteration of the event loop
+    /// retries; it starts with the next event or deadline, not immediately.
     Failed,
 }
 
--- a/crates/proxy/src/clients/connection.rs
+++ b/crates/proxy/src/clients/connection.rs
@@ -1,4 +1,8 @@
-//! The state machine of one client connection, and its limits on input.
+//! The state of one client connection, and its limits on input.
+//!
+//! A connection waits for the startup message, then for requests and for the response to each of
+//! them. Messages of the client and sent responses change its state. An error, Terminate or a
+//! cancel request changes it to closing.
 
 use tidescale_policy::types::RequestId;
 
@@ -8,16 +12,17 @@
 use crate::connection::Connection;
 use crate::postgres::{self, ClientMessage, Severity, complete_frame, frame_header};
 
-/// Size of the input up to which a connection is read ahead, for example while a request is
-/// pending. Also the limit on unwritten output: at this size no further message is handled, because
-/// the client sends requests without reading the responses.
+/// Number of buffered input bytes at which reading pauses if the next message cannot be handled
+/// yet, for example while a request is pending. Also the number of unwritten output bytes at which
+/// no further message is handled: the client sends requests without reading the responses.
 const READ_AHEAD_BYTES: usize = BUFFER_BYTES;
-/// Size of the input up to which a connection is read ahead while more than half of the buffers are
-/// free. A request's time limit counts from when it is read, so that reading early measures its
+/// Limit on buffered input that replaces [`READ_AHEAD_BYTES`] while more than half of the buffers
+/// are free. A request's time limit counts from when it is read, so that reading early measures its
 /// arrival more precisely.
 const EXTENDED_READ_AHEAD_BYTES: usize = 16 * BUFFER_BYTES;
-/// Bytes discarded after an error without waiting for another readiness event. Closing a socket
-/// with unread input resets the connection, and the client could not read the error.
+/// Maximum number of input bytes discarded after an error without waiting for another readiness
+/// event. Input is discarded because closing a socket with unread input resets the connection, and
+/// the client could not read the error.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Limit on the bytes discarded in one event-loop iteration.
 const DISCARDED_BYTES_PER_ITERATION: usize = MAX_DISCARDED_BYTES / 4;
@@ -26,7 +31,8 @@
 pub(super) enum ClientState {
     /// Waits for the startup message.
     Opening {
-        /// Accepted after SIGTERM, so that the shutdown waits for its first request.
+        /// Whether the connection was accepted after SIGTERM; the shutdown then waits for its
+        /// first request.
         accepted_in_shutdown: bool,
     },
     /// The startup is complete; no message was received since.
@@ -113,6 +119,7 @@
         !is_awaiting && !self.is_closing() && self.connection.output.len() < READ_AHEAD_BYTES
     }
 
+    /// Whether the startup is complete and the connection is not closing.
     fn is_open(&self) -> bool {
         !matches!(
             self.state,
@@ -126,8 +133,8 @@
         self.connection.may_be_readable() || self.is_open() && next() != Ok(None)
     }
 
-    /// Returns the number of input bytes to read: the complete next message if it can be handled,
-    /// otherwise only the read-ahead.
+    /// Returns the number of input bytes at which reading pauses: at least the length of the next
+    /// message if that can be handled, otherwise only the limit on buffered input.
     pub(super) fn bytes_wanted(&self, pool: &Pool) -> usize {
         let read_ahead = if self.is_open() && pool.is_mostly_free() {
             EXTENDED_READ_AHEAD_BYTES
@@ -161,7 +168,7 @@
         let ClientState::Closing { discarded_bytes } = &mut self.state else {
             return false;
         };
-        // Beyond the total limit, each readiness event discards one more part.
+        // Beyond `MAX_DISCARDED_BYTES`, each readiness event discards the limit of one iteration.
         let limit = match MAX_DISCARDED_BYTES.checked_sub(*discarded_bytes) {
             Some(remaining) => remaining.min(DISCARDED_BYTES_PER_ITERATION),
             None => DISCARDED_BYTES_PER_ITERATION,
--- a/crates/proxy/src/clients/messages.rs
+++ b/crates/proxy/src/clients/messages.rs
@@ -112,8 +112,8 @@
         Ok(MessageResult::Handled)
     }
 
-    /// Removes the message that ends at the end of `range` from the input, and copies its body, at
-    /// `range`, to `body`. Returns when the last byte of the message was received.
+    /// Removes the next message from the input and copies its body, the bytes at `range`, to
+    /// `body`. The message ends where `range` ends. Returns when its last byte was received.
     fn take_body(&mut self, range: Range<usize>, body: &mut Vec<u8>, now: Timestamp) -> Timestamp {
         let length = range.end;
         let input = &mut self.connection.input;
--- a/crates/proxy/src/clients/pending_requests.rs
+++ b/crates/proxy/src/clients/pending_requests.rs
@@ -24,13 +24,13 @@
     pub statement: Chain,
     /// The byte range of the time limit's digits in the statement.
     pub time_limit_range: Range<usize>,
-    /// The connection that each attempt is in flight on, by the index of the attempt; `None` if it
-    /// is not in flight.
+    /// The connection that each attempt is in flight on, by the index of the attempt; `None` if the
+    /// attempt is not in flight.
     pub attempt_connections: Vec<Option<EndpointConnectionKey>>,
 }
 
 impl PendingRequest {
-    /// Returns the connection that an attempt is in flight on.
+    /// Returns the connection that an attempt is in flight on; `None` if it is not in flight.
     pub fn attempt_connection(&self, id: AttemptId) -> Option<EndpointConnectionKey> {
         self.attempt_connections
             .get(id.index.get())
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -21,8 +21,10 @@
 enum RequestError {
     #[error(transparent)]
     Statement(#[from] StatementError),
+    /// The statement names a route that is not configured.
     #[error("an unknown route")]
     UnknownRoute,
+    /// The route requires an idempotency key, and the statement has none.
     #[error("no key")]
     MissingKey,
     /// Another pending request has the same id.
--- a/crates/proxy/src/clients/stages.rs
+++ b/crates/proxy/src/clients/stages.rs
@@ -12,8 +12,8 @@
 const CLOSING_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Timeout for the startup message, and again for the first request.
 const OPENING_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Timeout between requests. A client's own number of connections is limited, too, and idle ones
-/// count towards it.
+/// Timeout between requests. Clients, too, limit the number of their connections, and an idle one
+/// counts towards that limit.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Timeout from the first byte of a message to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2400);
@@ -69,9 +69,9 @@
 
 /// An index of all connections by stage and time.
 ///
-/// Invariants: each connection has at most one entry, which is in both maps; `idle_count` is the
-/// number of entries in [`Stage::Idle`]. An entry holds the stage recorded last, which may
-/// be older than the state of the connection.
+/// Invariants: each connection has at most one entry, which is in both `in_order` and
+/// `by_connection`; `idle_count` is the number of entries in [`Stage::Idle`]. An entry holds the
+/// stage recorded last, which may be older than the state of the connection.
 #[derive(Default)]
 pub struct ConnectionsByStage {
     in_order: BTreeSet<StageEntry>,
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -38,7 +38,8 @@
     pub input: Chain,
     /// Bytes that are still to be written.
     pub output: Chain,
-    /// The socket may have unread bytes: no read has found it empty since it became readable.
+    /// Whether the socket may have unread bytes: no read has found it empty since it became
+    /// readable.
     readable: bool,
 }
 
@@ -98,7 +99,8 @@
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Reads until the input holds at least `wanted_bytes`.
+    /// Reads until the input holds at least `wanted_bytes`, or for one of the other reasons of
+    /// [`FillStatus`] stops before.
     ///
     /// # Errors
     /// The connection failed.
@@ -122,7 +124,8 @@
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Discards the input, then reads and discards about `max_bytes` more.
+    /// Discards the input, then reads and discards until at least `max_bytes` have been read or a
+    /// read would block.
     pub fn discard(&mut self, max_bytes: usize) -> Discarded {
         self.input.skip(self.input.len());
         let mut scratch = [0; DISCARD_BUFFER_BYTES];
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -41,7 +41,7 @@
 pub struct Owner {
     /// The component to which the socket or the deadline belongs.
     pub component: Component,
-    /// The connection or stream within the component; 0 if the component has only one.
+    /// The connection, stream or deadline within the component; 0 if the component has only one.
     pub slot: SlotKey,
 }
 
--- a/crates/proxy/src/ids.rs
+++ b/crates/proxy/src/ids.rs
@@ -3,7 +3,8 @@
 
 use tidescale_policy::types::RequestId;
 
-/// Identifies an entry of a [`Slots`](crate::slots::Slots) table, or a stream within its component.
+/// Identifies an entry of a [`Slots`](crate::slots::Slots) table, or a stream or deadline within
+/// its component.
 ///
 /// The key of an entry includes the generation of its slot, so that no two entries have the same
 /// key.
