--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -14,22 +14,23 @@
 use crate::stream::{LineError, PersistentStream, StreamTimeouts};
 use crate::upstream::{EndpointListing, Upstream};
 
-/// A stream of the local agent that sends no line for this long is reopened. This is three
-/// intervals of the keep-alive lines that discovery sends while nothing changes.
+/// A stream of the local agent that sends no line for this long is reopened. This is three times
+/// the interval of the keep-alive lines that discovery sends while nothing changes.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(6000);
-/// A service shared by all instances accepts few calls a second and queues the others. Short time
-/// limits would cause a retry storm: the service would do work whose result is discarded, and be
-/// called again. From 6 s after the last line of its stream, an instance is required to apply what
-/// the service has sent.
+/// Time limits for a service that all instances share. It accepts few calls a second and queues the
+/// others, so that short limits would cause a retry storm: the service would do work whose result
+/// is discarded, and be called again. Long limits are excluded, because an instance is required to
+/// apply what the service has sent from 6 s after the last line of its stream on.
 const SHARED_SERVICE_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     keep_alive: Duration::from_millis(3500),
     response_start: Duration::from_millis(4000),
     max_backoff: Duration::from_millis(2000),
     renewal_interval: None,
 };
-/// An agent on the host of this instance responds immediately, and calls to it are cheap. Once the
-/// keep-alive timeout has passed, the instance is required to apply the latest list of the agent:
-/// `response_start` and `max_backoff` together have to stay below the grace period.
+/// Time limits for an agent on the host of this instance, which responds immediately and to which
+/// calls are cheap. Once the keep-alive timeout has passed, the instance is required to apply the
+/// latest list of the agent within a grace period, so `response_start` and `max_backoff` together
+/// have to be shorter than that period.
 const LOCAL_AGENT_TIMEOUTS: StreamTimeouts = StreamTimeouts {
     response_start: Duration::from_millis(500),
     max_backoff: Duration::from_millis(200),
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -28,7 +28,7 @@
 /// All endpoints, or those that have changed since the previous version.
 #[derive(Deserialize)]
 pub struct EndpointList {
-    /// Increases with every change.
+    /// The version of the list, which increases with every change.
     pub version: u64,
     /// Whether the list names all endpoints. Endpoints missing from a complete list have been
     /// removed; those missing from any other list are unchanged.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -48,7 +48,7 @@
     Proxy(#[from] ProxyError),
 }
 
-/// Whether the event loop continues after an iteration.
+/// The state of the event loop after an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopState {
     /// Another iteration has to run.
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -22,7 +22,8 @@
     /// The Content-Length is not a number.
     #[error("invalid Content-Length")]
     InvalidContentLength,
-    /// The body is longer than [`Response`] buffers.
+    /// The Content-Length or the unconsumed part of the body exceeds the size that [`Response`] can
+    /// buffer.
     #[error("response body is too long")]
     BodyTooLong,
     /// The size of a chunk is missing, invalid or too long.
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -30,7 +30,8 @@
     lines: u32,
 }
 
-/// Limits the lines of each call site. The number of call sites in the program bounds its size.
+/// Limits the lines of each call site. It needs no limit on its own size, which the number of call
+/// sites in the program bounds.
 #[derive(Default)]
 pub struct RateLimiter {
     windows: BTreeMap<SourceLine, Window>,
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -67,7 +67,8 @@
 }
 
 impl Proxy {
-    /// Creates a proxy that accepts clients from `listener`. No control stream is open yet.
+    /// Creates a proxy that accepts clients from `listener`. The streams of the endpoint list and
+    /// the rollout status are opened by [`Proxy::start`].
     pub(crate) fn new(
         config: &Config,
         config_path: PathBuf,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,5 +1,5 @@
-//! Configuration reload on SIGHUP: reads the configuration again, and switches the control streams
-//! and the votes to its addresses.
+//! Configuration reload on SIGHUP: reads the configuration again, and switches the streams of the
+//! endpoint list and the rollout status, and the connection for votes, to its addresses.
 //!
 //! Only addresses change. The endpoint list and the rollout status are kept, and an invalid
 //! configuration changes nothing.
--- a/crates/proxy/src/resource_budget.rs
+++ b/crates/proxy/src/resource_budget.rs
@@ -1,4 +1,5 @@
-//! Divides file descriptors and buffer memory among clients, endpoints and control streams.
+//! Divides file descriptors and buffer memory among clients, endpoints and control connections:
+//! those for the endpoint list, the rollout status and the votes.
 
 use crate::buffers::{self, Pool};
 
@@ -7,14 +8,15 @@
 /// Descriptors for the endpoint list, the rollout status and the votes: two each, because a new
 /// connection may be opened before the old one is closed.
 const CONTROL_DESCRIPTORS: usize = 6;
-/// The remaining descriptors divided by this are for endpoints, and the others for clients. Clients
-/// use at most a third of all descriptors for requests; the rest of their half is for clients that
-/// have to be sent an error before they are closed.
+/// The descriptors that are neither reserved nor for control connections, divided by this, are for
+/// endpoints; the others are for clients. Clients use at most a third of all descriptors for
+/// requests; the rest of their half is for clients that have to be sent an error before they are
+/// closed.
 const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 2;
-/// The descriptor limit divided by this is the maximum number of idle clients. It is less than half
-/// of the descriptors that clients use for requests.
+/// The descriptor limit divided by this is the maximum number of idle clients. An eighth of all
+/// descriptors is less than half of the third that clients use for requests.
 const IDLE_CLIENT_DIVISOR: usize = 8;
-/// Buffers may use the memory of the process divided by this.
+/// Buffers may use the memory limit of the process divided by this.
 const BUFFER_MEMORY_DIVISOR: usize = 3;
 /// Number of buffers for input from discovery and the platform. They are taken from the half of all
 /// buffers that is not for clients; endpoints get the rest of that half.
@@ -23,11 +25,11 @@
 /// Maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionBudget {
-    /// Endpoint connections.
+    /// Maximum number of connections to all endpoints together.
     pub endpoints: usize,
-    /// Client connections.
+    /// Maximum number of open client connections, including idle ones.
     pub clients: usize,
-    /// Idle client connections.
+    /// Maximum number of client connections that are idle between requests.
     pub idle_clients: usize,
 }
 
@@ -59,7 +61,8 @@
 }
 
 impl BufferBudget {
-    /// Splits the part of the process's memory limit, in MiB, that buffers may use.
+    /// Creates the pools from the part of the process's memory limit, `memory_mib` in MiB, that
+    /// buffers may use.
     pub fn split(memory_mib: usize) -> BufferBudget {
         let buffers =
             memory_mib.saturating_mul(1024 * 1024) / BUFFER_MEMORY_DIVISOR / buffers::BUFFER_BYTES;
--- a/crates/proxy/src/rollout_status.rs
+++ b/crates/proxy/src/rollout_status.rs
@@ -1,5 +1,5 @@
-//! Receives the rollout status of the newest build and flagged responses, as a persistent stream of
-//! events from the platform.
+//! Receives events from the platform over a persistent stream: the rollout status of the newest
+//! build, and responses of endpoints that clients have reported as wrong.
 
 mod event;
 
@@ -21,7 +21,7 @@
 /// the platform's keep-alive lines, which is 1 s.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// The platform's event stream.
+/// The platform's event stream, which delivers the rollout status and flagged responses.
 pub struct RolloutStatusStream {
     stream: PersistentStream,
 }
--- a/crates/proxy/src/rollout_status/event.rs
+++ b/crates/proxy/src/rollout_status/event.rs
@@ -38,8 +38,10 @@
     stage: StageIndex,
     #[serde(rename = "status")]
     phase: Phase,
+    /// Largest share of the requests that may be attempted at the build, from 0 to 1.
     #[serde(rename = "maxWeight")]
     traffic_cap: f64,
+    /// Time since the platform observed the status, in milliseconds.
     #[serde(rename = "observedAgoMs")]
     age_ms: f64,
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,8 +1,8 @@
-//! The state machine of the shutdown after SIGTERM: running, draining, finished. No I/O.
+//! The shutdown after SIGTERM: when the proxy stops to accept clients, and when it exits. No I/O.
 //!
-//! While draining, the proxy accepts clients for a limited period and completes all requests. It
-//! exits once nothing is pending, or at the shutdown deadline. It never returns to an earlier
-//! state.
+//! The proxy is running until SIGTERM, then draining, and then finished. While draining, it accepts
+//! clients for a limited period and completes all requests. It is finished once nothing is pending,
+//! or at the shutdown deadline. It never returns to an earlier state.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
 
 /// Time after SIGTERM in which clients may still connect and send requests.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Upper bound on the longest time limit of a request in the calculation of when SIGKILL arrives,
-/// which is after the accept period and that time limit.
+/// SIGKILL is expected after the accept period plus the longest time limit of a request. A longer
+/// time limit than this counts as this.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
 /// Attempts end this long before SIGKILL, so that their responses can still be sent.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// The deadlines of a drain.
+/// The points in time that bound a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// Clients may connect until then. The proxy does not exit before.
+    /// The end of the accept period: clients may connect until this time, and the proxy does not
+    /// exit before it.
     pub accept_until: Timestamp,
-    /// Attempts in flight end at the latest then.
+    /// The time at which attempts that are still in flight are ended.
     pub attempt_deadline: Timestamp,
-    /// The proxy exits at the latest then, even with requests pending.
+    /// The time at which the proxy exits even if requests are pending.
     pub shutdown_deadline: Timestamp,
 }
 
@@ -32,7 +33,7 @@
     Running,
     Draining {
         times: DrainTimes,
-        /// Nothing was pending at the previous check.
+        /// Whether nothing was pending at the previous call of [`Shutdown::step`].
         was_idle: bool,
     },
     Finished,
@@ -49,7 +50,7 @@
     Finish,
 }
 
-/// The state of the shutdown.
+/// Decides at the end of each iteration of the event loop whether the proxy exits.
 #[derive(Debug)]
 pub struct Shutdown {
     state: State,
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -40,7 +40,8 @@
     /// The response ended, although the connection is still open.
     #[error("complete")]
     Complete,
-    /// The keep-alive timeout expired: nothing was received, not even a keep-alive.
+    /// Nothing was received, not even a keep-alive, before the current time limit expired: that for
+    /// the start of the response, for the rest of a message, or the keep-alive timeout.
     #[error("silent")]
     KeepAliveTimeout,
     /// The response had started, but had not delivered a complete message when the stream was due
@@ -49,7 +50,7 @@
     NothingDelivered,
 }
 
-/// Time limit for the start of a response.
+/// Time limit for the start of the response of a server that responds immediately.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest backoff, before jitter.
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
@@ -60,8 +61,8 @@
 /// The time limits of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
-    /// Keep-alive timeout: the longest time between two messages in which nothing is received, not
-    /// even a keep-alive.
+    /// Keep-alive timeout: the stream is closed if nothing is received for this long between two
+    /// messages, not even a keep-alive.
     pub keep_alive: Duration,
     /// The longest time from connecting until the first bytes of the response.
     pub response_start: Duration,
--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -10,11 +10,11 @@
 use crate::context::{Component, IoContext, Owner};
 use crate::ids::SlotKey;
 
-/// The slot of the renewal deadline. The slots of streams count up from 0.
+/// The slot of the renewal deadline. No stream has it: the slots of streams count up from 0.
 const RENEWAL_SLOT: SlotKey = SlotKey::new(u64::MAX);
 
-/// The current stream and, until that has delivered a message, the previous one. Each new stream
-/// gets the next slot.
+/// The current stream and, until the current one has delivered a message, the previous one. Each
+/// new stream gets the next slot.
 pub struct PersistentStream {
     current: ReconnectingStream,
     previous: Option<ReconnectingStream>,
@@ -103,7 +103,8 @@
         false
     }
 
-    /// Replaces the current stream if it works. Returns whether the new one has to be opened.
+    /// Replaces the current stream if it has delivered a message. Returns whether the new one has
+    /// to be opened.
     fn renew(&mut self, context: &mut IoContext) -> bool {
         if self.current.has_delivered() {
             self.replace_current(self.current.address(), context);
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -18,7 +18,7 @@
 /// Time limit for more input within a message. A server that stalls there may still send
 /// keep-alives, so that the keep-alive timeout would not expire.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Size of the input up to which the connection is read before the input is decoded.
+/// Number of buffered input bytes at which reading pauses until they have been decoded.
 const READ_AHEAD_BYTES: usize = 256 * 1024;
 
 /// The connection of an open stream and the response received over it.
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the owner of its deadline and its socket.
+    /// Returns the owner of the stream's deadline and socket.
     pub(super) fn owner(&self) -> Owner {
         self.owner
     }
