--- a/crates/proxy/src/postgres/framing.rs
+++ b/crates/proxy/src/postgres/framing.rs
@@ -184,6 +184,7 @@
     let Some(code) = read_u32(input, LENGTH_FIELD_BYTES) else {
         return Ok(None);
     };
+    // The requests other than the startup message have a fixed length.
     let kind = match code {
         PROTOCOL_VERSION => StartupKind::Startup,
         SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE if length == 8 => StartupKind::Encryption,
--- a/crates/proxy/src/postgres/messages.rs
+++ b/crates/proxy/src/postgres/messages.rs
@@ -119,7 +119,8 @@
         .and_then(split_c_string)
         .map(|(_, rest)| rest);
     match after_name {
-        // The table, column, type, size and type modifier; then the format, text or binary.
+        // 16 bytes with the table, column, type, size and type modifier, then the format, which is
+        // 0 for text or 1 for binary.
         Some([_, _, _, _, _, _, _, _, _, _, _, _, _, _, _, _, 0, 0 | 1]) => Ok(()),
         _ => Err(ProtocolError::RowDescription),
     }
@@ -128,7 +129,7 @@
 /// Checks that a CommandComplete is for one row.
 ///
 /// # Errors
-/// Its command tag is another one, or the body is malformed.
+/// Its command tag is not one of a statement for one row, or the body is malformed.
 pub fn check_command_complete(body: &[u8]) -> Result<(), ProtocolError> {
     match split_c_string(body) {
         Some(("SELECT 1" | "INSERT 0 1" | "SHOW", [])) => Ok(()),
--- a/crates/proxy/src/postgres/statement.rs
+++ b/crates/proxy/src/postgres/statement.rs
@@ -54,9 +54,9 @@
     pub request_id: &'a str,
     /// The name of the route.
     pub route: &'a str,
-    /// The code of the fact that the statement reads or writes.
+    /// The value of the column `code`, which identifies the row that the statement reads or writes.
     pub code: &'a str,
-    /// The key, if the client sent one.
+    /// The idempotency key; `None` if the client sent none.
     pub key: Option<&'a str>,
     /// How long the client waits for the response.
     pub time_limit: Duration,
--- a/crates/proxy/src/snapshot_writer.rs
+++ b/crates/proxy/src/snapshot_writer.rs
@@ -39,13 +39,12 @@
 /// Priority of the snapshot job, which is the only job of the scheduler.
 const SNAPSHOT_JOB_PRIORITY: u8 = 1;
 
-/// The outcome of the last of the writes that
-/// [`wait_for_last_result`](SnapshotWriter::wait_for_last_result) has waited for.
+/// The outcome of the write that was submitted last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteStatus {
     /// The snapshot is on disk.
     Written,
-    /// The write failed, or there was none.
+    /// The write failed, or no write was pending.
     NotWritten,
 }
 
@@ -132,7 +131,8 @@
         self.scheduler.record_time(duration, now);
     }
 
-    /// Returns the time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do.
+    /// Returns the time at which [`run_slice`](SnapshotWriter::run_slice) next has work to do;
+    /// `None` if the scheduler has no job.
     pub fn next_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.scheduler.next_wake_up(now)
     }
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Waits until the thread has finished all pending writes. Returns whether the last of them
-    /// succeeded, or `None` if the deadline expires first or the thread has ended.
+    /// Waits until the thread has finished all pending writes. Returns the outcome of the last of
+    /// them, or `None` if the deadline expires first or the thread has ended.
     fn wait_for_last_result(&mut self, deadline: Instant, now: Timestamp) -> Option<WriteStatus> {
         let mut status = WriteStatus::NotWritten;
         while self.background.has_pending() {
--- a/crates/proxy/src/snapshot_writer/restore.rs
+++ b/crates/proxy/src/snapshot_writer/restore.rs
@@ -1,5 +1,5 @@
-//! Restores the valid records of a snapshot: those that have not expired and that describe no
-//! other process or rollout than the current one.
+//! Restores the valid records of a snapshot. A record is valid if it has not expired and the
+//! process or rollout that it describes, if any, is still the current one.
 
 use tidescale_policy::Balancer;
 use tidescale_policy::snapshot::{HardwareClassRecord, OutcomeRecord, RouteRecord};
@@ -72,7 +72,8 @@
                 self.policy.restore_key_build(&record.key, record.build);
                 true
             }
-            // Stored for starts without discovery; not restored here.
+            // Stored for starts without discovery. Here the policy has already received the
+            // endpoint list and the rollout status.
             Record::ListedEndpoint(_) | Record::Rollout(_) => false,
             // Expired, because the guards above did not match.
             Record::HardwareClass(_) | Record::RejectedBuild(_) | Record::KeyBuild(_) => false,
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -123,10 +123,11 @@
     /// Exchanges that ended without an event on their connection. The policy is notified of them in
     /// the next iteration of the event loop.
     ended: Vec<EndedExchange>,
-    /// Connections with more to read than was read in this iteration.
+    /// Connections that the next iteration reads without a readiness event, because more input may
+    /// be available than was read in this one.
     scheduled: Vec<EndpointConnectionKey>,
     /// When a reused connection was last lost after its request had been written and before any
-    /// part of the response.
+    /// part of the response; `None` if that has not happened.
     last_stale_at: Option<Timestamp>,
 }
 
@@ -152,7 +153,7 @@
 
     /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
     /// its idle connections are closed, and so are those that are being established. Exchanges that
-    /// wait for the latter end as not sent.
+    /// wait for a connection to be established end as not sent.
     pub fn update_endpoint(
         &mut self,
         name: &str,
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Takes the connections with more to read than was read in the last iteration.
+    /// Takes the connections that are read in this iteration because the last one may have left
+    /// input unread.
     pub fn take_scheduled(&mut self) -> Vec<EndpointConnectionKey> {
         std::mem::take(&mut self.scheduled)
     }
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Ends an exchange whose outcome is known, if there is one. The connection then waits for
-    /// ReadyForQuery, at most for the time limit for connecting.
+    /// Ends the exchange of a connection if its outcome is known. The connection then waits for
+    /// ReadyForQuery, at most for the configured connect timeout.
     pub(super) fn finish_completed(
         &mut self,
         key: EndpointConnectionKey,
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -100,7 +100,7 @@
 pub(super) enum HealthCheckQuery {
     /// Requests the load report, from endpoints that send it only on demand.
     LoadReport,
-    /// Requests an arbitrary response.
+    /// Requests a response of any content, which shows that the endpoint responds.
     Ping,
 }
 
--- a/crates/proxy/src/upstream/outcomes.rs
+++ b/crates/proxy/src/upstream/outcomes.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why what an endpoint sent is not a valid response.
+/// Why the messages from an endpoint are not a valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResponseError {
     /// A message violates the protocol.
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -17,13 +17,14 @@
 use crate::postgres::framing::MAX_DATA_ROW_BODY_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame, complete_frame};
 
-/// Size of the input up to which a connection is read before the input is handled: the longest
-/// message and some more.
+/// Number of buffered input bytes at which reading pauses until the complete messages among them
+/// have been handled. The longest message has to fit, with its header; 4 KiB leave room for that
+/// and for short messages.
 const READ_AHEAD_BYTES: usize = MAX_DATA_ROW_BODY_BYTES + 4096;
 /// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
 
-/// Whether the endpoint accepts another query on the connection.
+/// The readiness of an endpoint for another query on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueryReadiness {
     Ready,
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -100,7 +100,8 @@
         }
         // The failure is handled by the next read, after what the endpoint may have sent before it.
         if let Err(error) = flushed {
-            debug!(context.log, "write failed"; "endpoint" => &connection.endpoint, "error" => %error);
+            debug!(context.log, "write failed";
+                "endpoint" => &connection.endpoint, "error" => %error);
         }
     }
 
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -25,7 +25,7 @@
 const OWNER: Owner = Owner::only(Component::Votes);
 /// How long an idle connection is kept; well below the time after which the platform may close it.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Size of the input up to which the connection is read before the input is handled.
+/// Number of buffered input bytes at which reading pauses until they have been decoded.
 const READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// A vote that waits for its response, and its connection.
@@ -36,7 +36,7 @@
     address_changed: bool,
 }
 
-/// How a call to the platform ended.
+/// How a call to the platform, the HTTP request that carries one vote, has ended.
 enum CallEnd {
     /// A complete response was received.
     Responded {
@@ -85,7 +85,7 @@
     Waiting(Box<PendingVote>),
 }
 
-/// Sends votes and tracks the current one.
+/// The connection for votes, and the vote that waits for its response, if any.
 pub struct Votes {
     address: SocketAddr,
     response_timeout: Duration,
