--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown after SIGTERM: when the proxy stops to accept clients, and when it exits. No I/O.
+//! The shutdown after SIGTERM: when the proxy stops accepting clients, and when it exits. No I/O.
 //!
 //! The proxy is running until SIGTERM, then draining, and then finished. While draining, it accepts
 //! clients for a limited period and completes all requests. It is finished once nothing is pending,
@@ -10,8 +10,8 @@
 
 /// Time after SIGTERM in which clients may still connect and send requests.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// SIGKILL is expected after the accept period plus the longest time limit of a request. A longer
-/// time limit than this counts as this.
+/// SIGKILL is expected after the accept period plus the longest time limit of a request, of which
+/// at most this much counts.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
 /// Attempts end this long before SIGKILL, so that their responses can still be sent.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
