--- a/crates/proxy/src/buffers.rs
+++ b/crates/proxy/src/buffers.rs
@@ -198,8 +198,8 @@
         self.skip(count);
     }
 
-    /// Reads until the chain holds at least `wanted_bytes`, or until reading has to stop for another
-    /// reason. Returns the reason.
+    /// Reads until the chain holds at least `wanted_bytes`, or until reading has to stop for
+    /// another reason. Returns the reason.
     ///
     /// # Errors
     /// Any error of `from` except `Interrupted` and `WouldBlock`.
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -99,8 +99,8 @@
         self.readable |= readiness.readable || readiness.error;
     }
 
-    /// Reads until the input holds at least `wanted_bytes`, or until reading has to stop for another
-    /// reason. Returns the reason.
+    /// Reads until the input holds at least `wanted_bytes`, or until reading has to stop for
+    /// another reason. Returns the reason.
     ///
     /// # Errors
     /// The connection failed.
@@ -124,8 +124,8 @@
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Discards the input, then reads and discards until at least `max_bytes` have been read, a read
-    /// would block, or the connection has ended.
+    /// Discards the input, then reads and discards until at least `max_bytes` have been read, a
+    /// read would block, or the connection has ended.
     pub fn discard(&mut self, max_bytes: usize) -> Discarded {
         self.input.skip(self.input.len());
         let mut scratch = [0; DISCARD_BUFFER_BYTES];
