--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -18,8 +18,8 @@
 /// connections does not delay the established ones.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
-/// Whether connections wait to be accepted. The listener is registered edge-triggered, so the event
-/// loop reports only the first of them.
+/// What is known about connections that wait to be accepted. The listener is registered
+/// edge-triggered, so the event loop reports only the first of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
     /// No connection waits.
@@ -28,8 +28,8 @@
     Ready,
     /// [`MAX_ACCEPTS_PER_ITERATION`] was reached; more connections may wait.
     BatchAccepted,
-    /// `accept` failed with an error that is not transient. The next iteration retries, but none is
-    /// scheduled for that.
+    /// `accept` failed with an error that is not transient. The next iteration of the event loop
+    /// retries; it starts with the next event or deadline, not immediately.
     Failed,
 }
 
@@ -113,12 +113,12 @@
     fn first_to_evict(&self, context: &IoContext) -> Option<StageEntry> {
         let latest = context.now - MIN_STAGE_AGE;
         // A connection with unread bytes is kept: the bytes may be a complete request.
-        let has_sent_nothing = |entry: &StageEntry| {
+        let may_be_evicted = |entry: &StageEntry| {
             self.connections
                 .get(entry.connection)
                 .is_some_and(|client| client.is_closing() || client.connection.read_would_block())
         };
-        self.stages.eviction_order(latest).find(has_sent_nothing)
+        self.stages.eviction_order(latest).find(may_be_evicted)
     }
 }
 
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -21,8 +21,10 @@
 enum RequestError {
     #[error(transparent)]
     Statement(#[from] StatementError),
+    /// The statement names a route that is not configured.
     #[error("an unknown route")]
     UnknownRoute,
+    /// The route requires an idempotency key, and the statement has none.
     #[error("no key")]
     MissingKey,
     /// Another pending request has the same id.
@@ -55,7 +57,7 @@
             is_repeatable: self.is_repeatable,
             statement,
             time_limit_range: self.statement.time_limit_range.clone(),
-            attempts: Vec::new(),
+            attempt_connections: Vec::new(),
         }
     }
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,8 +1,8 @@
-//! The state machine of the shutdown after SIGTERM: running, draining, finished. No I/O.
+//! The shutdown after SIGTERM: when the proxy stops accepting clients, and when it exits. No I/O.
 //!
-//! While draining, the proxy accepts clients for a limited period and completes all requests. It
-//! exits once nothing is pending, or at the shutdown deadline. It never returns to an earlier
-//! state.
+//! The proxy is running until SIGTERM, then draining, and then finished. While draining, it accepts
+//! clients for a limited period and completes all requests. It is finished once nothing is pending,
+//! or at the shutdown deadline. It never returns to an earlier state.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
 
 /// Time after SIGTERM in which clients may still connect and send requests.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// Upper bound on the longest time limit of a request in the calculation of when SIGKILL arrives,
-/// which is after the accept period and that time limit.
+/// SIGKILL is expected after the accept period plus the longest time limit of a request, of which
+/// at most this much counts.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(3000);
 /// Attempts end this long before SIGKILL, so that their responses can still be sent.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// The deadlines of a drain.
+/// The points in time that bound a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// Clients may connect until then. The proxy does not exit before.
+    /// The end of the accept period: clients may connect until this time, and the proxy does not
+    /// exit before it.
     pub accept_until: Timestamp,
-    /// Attempts in flight end at the latest then.
+    /// The time at which attempts that are still in flight are ended.
     pub attempt_deadline: Timestamp,
-    /// The proxy exits at the latest then, even with requests pending.
+    /// The time at which the proxy exits even if requests are pending.
     pub shutdown_deadline: Timestamp,
 }
 
@@ -32,7 +33,7 @@
     Running,
     Draining {
         times: DrainTimes,
-        /// Nothing was pending at the previous check.
+        /// Whether nothing was pending at the previous call of [`Shutdown::step`].
         was_idle: bool,
     },
     Finished,
@@ -49,20 +50,20 @@
     Finish,
 }
 
-/// The state of the shutdown.
+/// Decides at the end of each iteration of the event loop whether the proxy exits.
 #[derive(Debug)]
 pub struct Shutdown {
     state: State,
-    longest_request_deadline: Duration,
+    longest_time_limit: Duration,
 }
 
 impl Shutdown {
-    /// Creates a shutdown in the running state. `longest_request_deadline` is the longest time
+    /// Creates a shutdown in the running state. `longest_time_limit` is the longest time
     /// limit of a request.
-    pub fn new(longest_request_deadline: Duration) -> Shutdown {
+    pub fn new(longest_time_limit: Duration) -> Shutdown {
         Shutdown {
             state: State::Running,
-            longest_request_deadline,
+            longest_time_limit,
         }
     }
 
@@ -71,7 +72,7 @@
         if self.state != State::Running {
             return None;
         }
-        let request_wait = self.longest_request_deadline.min(MAX_REQUEST_WAIT);
+        let request_wait = self.longest_time_limit.min(MAX_REQUEST_WAIT);
         let attempt_deadline = now + request_wait + ACCEPT_PERIOD - KILL_MARGIN;
         let times = DrainTimes {
             accept_until: now + ACCEPT_PERIOD,
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -18,7 +18,7 @@
 /// Time limit for more input within a message. A server that stalls there may still send
 /// keep-alives, so that the keep-alive timeout would not expire.
 const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Size of the input up to which the connection is read before the input is decoded.
+/// Number of buffered input bytes at which reading pauses until they have been decoded.
 const READ_AHEAD_BYTES: usize = 256 * 1024;
 
 /// The connection of an open stream and the response received over it.
@@ -50,8 +50,8 @@
     fn receive(&mut self) -> Received {
         let mut any_bytes = false;
         let mut response = Ok(());
-        let mut last_read = Ok(FillStatus::Complete);
-        while matches!(last_read, Ok(FillStatus::Complete)) && response.is_ok() {
+        let mut last_read = Ok(FillStatus::Filled);
+        while matches!(last_read, Ok(FillStatus::Filled)) && response.is_ok() {
             last_read = self.connection.read(READ_AHEAD_BYTES);
             any_bytes |= !self.connection.input.is_empty();
             response = self.response.read(&mut self.connection.input);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the owner of its deadline and its socket.
+    /// Returns the owner of the stream's deadline and socket.
     pub(super) fn owner(&self) -> Owner {
         self.owner
     }
@@ -246,6 +246,6 @@
     match last_read? {
         FillStatus::EndOfStream => Err(StreamError::Closed),
         _ if is_complete => Err(StreamError::Complete),
-        FillStatus::WouldBlock | FillStatus::Complete | FillStatus::PoolExhausted => Ok(()),
+        FillStatus::WouldBlock | FillStatus::Filled | FillStatus::PoolExhausted => Ok(()),
     }
 }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -123,10 +123,11 @@
     /// Exchanges that ended without an event on their connection. The policy is notified of them in
     /// the next iteration of the event loop.
     ended: Vec<EndedExchange>,
-    /// Connections with more to read than was read in this iteration.
-    pending: Vec<EndpointConnectionKey>,
+    /// Connections that the next iteration reads without a readiness event, because more input may
+    /// be available than was read in this one.
+    scheduled: Vec<EndpointConnectionKey>,
     /// When a reused connection was last lost after its request had been written and before any
-    /// part of the response.
+    /// part of the response; `None` if that has not happened.
     last_stale_at: Option<Timestamp>,
 }
 
@@ -139,19 +140,20 @@
             connections: Slots::new(max_connections),
             settings,
             ended: Vec::new(),
-            pending: Vec::new(),
+            scheduled: Vec::new(),
             last_stale_at: None,
         }
     }
 
     /// Whether there is work to do without waiting for an event.
     pub fn has_pending_work(&self, context: &IoContext) -> bool {
-        !self.ended.is_empty() || !self.pending.is_empty() && !context.endpoint_pool.is_exhausted()
+        !self.ended.is_empty()
+            || !self.scheduled.is_empty() && !context.endpoint_pool.is_exhausted()
     }
 
     /// Applies the listing of an endpoint. If its process has changed or it gets no new attempts,
     /// its idle connections are closed, and so are those that are being established. Exchanges that
-    /// wait for the latter end as not sent.
+    /// wait for a connection to be established end as not sent.
     pub fn update_endpoint(
         &mut self,
         name: &str,
@@ -210,9 +212,10 @@
         }
     }
 
-    /// Takes the connections with more to read than was read in the last iteration.
-    pub fn take_pending(&mut self) -> Vec<EndpointConnectionKey> {
-        std::mem::take(&mut self.pending)
+    /// Takes the connections that are read in this iteration because the last one may have left
+    /// input unread.
+    pub fn take_scheduled(&mut self) -> Vec<EndpointConnectionKey> {
+        std::mem::take(&mut self.scheduled)
     }
 
     /// Limits the deadlines of all exchanges in flight to `deadline`.
--- a/crates/proxy/src/upstream/receiving.rs
+++ b/crates/proxy/src/upstream/receiving.rs
@@ -17,13 +17,14 @@
 use crate::postgres::framing::MAX_DATA_ROW_BODY_BYTES;
 use crate::postgres::{self, EndpointMessage, Frame, complete_frame};
 
-/// Size of the input up to which a connection is read before the input is handled: the longest
-/// message and some more.
+/// Number of buffered input bytes at which reading pauses until the complete messages among them
+/// have been handled. The longest message has to fit, with its header; 4 KiB leave room for that
+/// and for short messages.
 const READ_AHEAD_BYTES: usize = MAX_DATA_ROW_BODY_BYTES + 4096;
 /// The name of the parameter in which endpoints report their load.
 const LOAD_PARAMETER: &str = "vitals";
 
-/// Whether the endpoint accepts another query on the connection.
+/// The readiness of an endpoint for another query on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueryReadiness {
     Ready,
@@ -40,7 +41,7 @@
         };
         let read = connection.connection.read(READ_AHEAD_BYTES);
         if matches!(read, Ok(FillStatus::PoolExhausted)) {
-            self.pending.push(key);
+            self.scheduled.push(key);
         }
         let handled = self.handle_messages(key, context);
         self.finish_completed(key, context);
@@ -63,7 +64,7 @@
         context: &mut ExchangeContext<'_>,
     ) {
         match read {
-            Ok(FillStatus::Complete) => self.pending.push(key),
+            Ok(FillStatus::Filled) => self.scheduled.push(key),
             Ok(FillStatus::EndOfStream) => {
                 self.fail(key, AttemptErrorCause::ConnectionClosed, context);
             }
@@ -163,7 +164,7 @@
             return Ok(QueryReadiness::NotReady);
         };
         if !connection.is_connecting() {
-            return if connection.open_exchange().is_some() {
+            return if connection.exchange_without_outcome().is_some() {
                 Err(ResponseError::Missing)
             } else {
                 Ok(QueryReadiness::Ready)
@@ -172,7 +173,7 @@
         connection.finish_connecting();
         // The policy may no longer allow the attempt that it started before the connection was
         // established.
-        if let Some(exchange) = connection.open_exchange()
+        if let Some(exchange) = connection.exchange_without_outcome()
             && let ExchangeKind::Attempt(id) = exchange.kind
             && !context.may_still_write(id)
         {
@@ -223,7 +224,7 @@
         _ if connection.is_connecting() => AttemptOutcome::Refused,
         outcome => outcome,
     };
-    if let Some(exchange) = connection.open_exchange() {
+    if let Some(exchange) = connection.exchange_without_outcome() {
         exchange.outcome = Some(outcome);
     }
     Ok(())
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -30,7 +30,7 @@
         }
         let connection = self.start_exchange(new, context, clients);
         if let Some(pending) = clients.request(id.request) {
-            pending.attempts.push(connection);
+            pending.attempt_connections.push(connection);
         }
     }
 
@@ -100,7 +100,8 @@
         }
         // The failure is handled by the next read, after what the endpoint may have sent before it.
         if let Err(error) = flushed {
-            debug!(context.log, "write failed"; "endpoint" => &connection.endpoint, "error" => %error);
+            debug!(context.log, "write failed";
+                "endpoint" => &connection.endpoint, "error" => %error);
         }
     }
 
@@ -118,13 +119,13 @@
             return Some(());
         };
         let kind = exchange.kind;
-        let wait = (exchange.deadline - context.now).max(MIN_STATEMENT_TIMEOUT);
+        let time_limit = (exchange.deadline - context.now).max(MIN_STATEMENT_TIMEOUT);
         let output = &mut connection.connection.output;
         match kind {
             ExchangeKind::Attempt(id) => {
                 let pending = clients.request(id.request)?;
                 let statement = &pending.statement;
-                postgres::put_statement(output, statement, &pending.time_limit_range, wait);
+                postgres::put_statement(output, statement, &pending.time_limit_range, time_limit);
             }
             ExchangeKind::HealthCheck => postgres::put_query(output, health_check.text()),
         }
