--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -36,10 +36,10 @@
     #[error("cannot write {NEW_FILE}: {0}")]
     Write(#[source] io::Error),
     /// The new file cannot be renamed to the file of the older generation.
-    #[error("cannot rename {NEW_FILE} to {slot}: {source}")]
+    #[error("cannot rename {NEW_FILE} to {file_name}: {source}")]
     Rename {
         /// Name of the file of the older generation.
-        slot: &'static str,
+        file_name: &'static str,
         /// The error of the disk.
         source: io::Error,
     },
@@ -115,10 +115,10 @@
 
     fn replace_older_generation(&mut self, bytes: &[u8]) -> Result<(), SaveError> {
         self.write_new_file(bytes).map_err(SaveError::Write)?;
-        let slot = self.next_slot.file_name();
+        let file_name = self.next_slot.file_name();
         self.disk
-            .rename(NEW_FILE, slot)
-            .map_err(|source| SaveError::Rename { slot, source })?;
+            .rename(NEW_FILE, file_name)
+            .map_err(|source| SaveError::Rename { file_name, source })?;
         self.disk.sync_directory().map_err(SaveError::SyncDirectory)
     }
 
