--- a/crates/experiments/src/restart/configuration.rs
+++ b/crates/experiments/src/restart/configuration.rs
@@ -124,7 +124,7 @@
 /// Where and how often an instance saves its snapshot.
 pub(super) struct SnapshotSettings<'a> {
     /// Directory of the snapshots.
-    pub(super) folder: &'a Path,
+    pub(super) directory: &'a Path,
     /// Time between two saves, in the syntax of the operators' file.
     pub(super) interval: &'a str,
     /// Time limit of the last save at shutdown, in the same syntax; `None` leaves the default.
@@ -136,7 +136,7 @@
     pub(super) fn write(&self, dir: &Path) -> Result<PathBuf, ExperimentError> {
         let mut text = format!(
             "[memory]\nfolder = \"{}\"\nevery = \"{}\"\n",
-            self.folder.display(),
+            self.directory.display(),
             self.interval
         );
         if let Some(stop_within) = self.stop_within {
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -78,9 +78,9 @@
         let encoded = EncodedSnapshot::measure(endpoints)?;
         let listen = run_address(run)?;
         let configuration = write_configuration(endpoints, listen, &dir)?;
-        let folder = dir.join("memory");
+        let snapshot_dir = dir.join("memory");
         let operators_file = SnapshotSettings {
-            folder: &folder,
+            directory: &snapshot_dir,
             interval: "100 ms",
             stop_within: Some("2 s"),
         }
@@ -92,7 +92,7 @@
             listen,
         };
         let without = InstanceRun::measure(&options)?;
-        save_snapshot(&folder, &encoded.bytes)?;
+        save_snapshot(&snapshot_dir, &encoded.bytes)?;
         options.operators_file = Some(operators_file);
         let with = InstanceRun::measure(&options)?;
         // Files that are not removed do no harm, and an error here must not hide the result.
@@ -242,9 +242,9 @@
     configuration.write(dir)
 }
 
-fn save_snapshot(folder: &Path, bytes: &[u8]) -> Result<(), ExperimentError> {
-    fs::create_dir_all(folder).map_err(ExperimentError::at(folder))?;
-    let path = folder.join("memory.0");
+fn save_snapshot(dir: &Path, bytes: &[u8]) -> Result<(), ExperimentError> {
+    fs::create_dir_all(dir).map_err(ExperimentError::at(dir))?;
+    let path = dir.join("memory.0");
     fs::write(&path, bytes).map_err(ExperimentError::at(&path))
 }
 
--- a/crates/experiments/src/saver.rs
+++ b/crates/experiments/src/saver.rs
@@ -38,8 +38,8 @@
 ///
 /// Returns an error if the directory cannot be locked, or if a save fails.
 pub fn run(args: &SaverArgs) -> Result<String, ExperimentError> {
-    let (mut store, opened) = Store::open(lock_directory(&args.folder)?);
-    let mut number = opened
+    let (mut store, contents) = Store::open(lock_directory(&args.folder)?);
+    let mut number = contents
         .snapshot
         .map_or(0, |snapshot| snapshot.written_at.as_micros());
     let mut out = stdout();
@@ -64,16 +64,16 @@
 ///
 /// Returns an error if the directory cannot be created or locked, or if it is still locked after
 /// the timeout.
-pub fn lock_directory(folder: &Path) -> Result<Directory, ExperimentError> {
+pub fn lock_directory(path: &Path) -> Result<Directory, ExperimentError> {
     let started_at = Instant::now();
     loop {
-        match Directory::lock(folder) {
+        match Directory::lock(path) {
             Ok(directory) => return Ok(directory),
             Err(LockError::Locked) if started_at.elapsed() < LOCK_TIMEOUT => {
                 thread::sleep(LOCK_POLL);
             }
             Err(source) => {
-                let path = folder.to_path_buf();
+                let path = path.to_path_buf();
                 return Err(ExperimentError::Lock { path, source });
             }
         }
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -152,8 +152,8 @@
             false_rollbacks.lower > MAX_FALSE_ROLLBACK_RATE || missed.lower > MAX_MISSED_RATE;
         Err(ExperimentError::RatesNotConfirmed {
             summary,
-            false_rollbacks: 100.0 * MAX_FALSE_ROLLBACK_RATE,
-            missed: 100.0 * MAX_MISSED_RATE,
+            max_false_rollback_percent: 100.0 * MAX_FALSE_ROLLBACK_RATE,
+            max_missed_percent: 100.0 * MAX_MISSED_RATE,
             finding: if is_broken { "broken" } else { "not shown" },
         })
     }
