--- a/crates/experiments/src/restart/instance.rs
+++ b/crates/experiments/src/restart/instance.rs
@@ -16,7 +16,7 @@
 const START_POLL: Duration = Duration::from_millis(1);
 /// Number of runs whose addresses have the same third byte. Each run has its own address in
 /// 127.9.0.0/16.
-const ADDRESSES_PER_BYTE: u64 = 250;
+const ADDRESSES_PER_THIRD_BYTE: u64 = 250;
 
 /// Number of a run, which determines its address and its directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,8 +138,8 @@
 /// Returns an address that only this run uses, with a port that was free when it was checked.
 pub(super) fn run_address(run: RunNumber) -> Result<SocketAddr, ExperimentError> {
     let RunNumber(number) = run;
-    let third_byte = (number / ADDRESSES_PER_BYTE) as u8;
-    let fourth_byte = 1 + (number % ADDRESSES_PER_BYTE) as u8;
+    let third_byte = (number / ADDRESSES_PER_THIRD_BYTE) as u8;
+    let fourth_byte = 1 + (number % ADDRESSES_PER_THIRD_BYTE) as u8;
     free_address(Ipv4Addr::new(127, 9, third_byte, fourth_byte))
 }
 
--- a/crates/experiments/src/restart/snapshot_cost.rs
+++ b/crates/experiments/src/restart/snapshot_cost.rs
@@ -203,11 +203,11 @@
 
 /// Returns the loopback address of an endpoint; nothing listens on it.
 fn endpoint_address(position: ListPosition) -> SocketAddr {
-    const ADDRESSES_PER_BYTE: usize = 250;
+    const ADDRESSES_PER_THIRD_BYTE: usize = 250;
     const PORT: u16 = 5432;
     let ListPosition(index) = position;
-    let third_byte = (index / ADDRESSES_PER_BYTE) as u8;
-    let fourth_byte = (1 + index % ADDRESSES_PER_BYTE) as u8;
+    let third_byte = (index / ADDRESSES_PER_THIRD_BYTE) as u8;
+    let fourth_byte = (1 + index % ADDRESSES_PER_THIRD_BYTE) as u8;
     SocketAddr::from(([127, 10, third_byte, fourth_byte], PORT))
 }
 
