--- a/crates/snapshot/src/expiry.rs
+++ b/crates/snapshot/src/expiry.rs
@@ -24,7 +24,8 @@
 /// The host's clock may be set back by less than this over a restart.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(2);
 
-/// Whether the process that a record describes is the one that the endpoint list names now.
+/// Result of comparing the process that a record describes with the one that the endpoint list
+/// names now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessMatch {
     /// Name, address, build and start time are equal.
--- a/crates/snapshot/src/expiry/lifetime.rs
+++ b/crates/snapshot/src/expiry/lifetime.rs
@@ -20,20 +20,23 @@
 }
 
 impl Lifetime {
-    /// Short, because the endpoint may have recovered in the meantime.
+    /// Slowdown, load and ejection of an endpoint: a short lifetime, because the endpoint may have
+    /// recovered in the meantime.
     pub(super) const ENDPOINT: Lifetime = Lifetime::decaying(Duration::from_secs(10));
-    /// Short, because the endpoint may have recovered in the meantime.
+    /// Outcomes of an endpoint: a short lifetime, because the endpoint may have recovered in the
+    /// meantime.
     pub(super) const OUTCOMES: Lifetime = Lifetime::decaying(Duration::from_secs(15));
-    /// Long, because hardware and routes seldom change.
+    /// Records of hardware classes and routes: a long lifetime, because these seldom change.
     pub(super) const BASELINE: Lifetime = Lifetime::decaying(Duration::from_secs(600));
     /// The fleet's baseline before the rollout and the slowdowns by zone.
     pub(super) const FLEET: Lifetime = Lifetime::decaying(Duration::from_secs(60));
-    /// Lasts as long as the policy treats a build that was rejected before a restart as suspect.
+    /// A rejected build: expires when the policy no longer treats a build that was rejected before
+    /// a restart as suspect.
     const REJECTED_BUILD: Lifetime = Lifetime {
         half_life: Duration::from_secs(60),
         max_age: Duration::from_secs(60),
     };
-    /// The build of a key keeps its full weight until it expires.
+    /// The build of an idempotency key: keeps its full weight until it expires.
     const KEY_BUILD: Lifetime = Lifetime {
         half_life: Duration::MAX,
         max_age: Duration::from_secs(3600),
--- a/crates/snapshot/src/expiry/restore.rs
+++ b/crates/snapshot/src/expiry/restore.rs
@@ -23,7 +23,8 @@
 /// Maximum number of responses that a restored baseline counts for, so that new measurements
 /// replace it soon after the fleet has changed.
 pub const MAX_BASELINE_RESPONSES: f64 = 200.0;
-/// Maximum number of responses that the restored load and slowdown of a hardware class count for.
+/// Maximum number of load reports that the restored load of a hardware class counts for, and of
+/// responses that its restored slowdown counts for.
 const MAX_HARDWARE_CLASS_RESPONSES: f64 = 20.0;
 /// An ejection is restored while its record has at least this weight, that is for one half-life.
 const MIN_EJECTION_WEIGHT: f64 = 0.5;
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -36,7 +36,7 @@
 pub const MAX_FILE_BYTES: usize = 16 << 20;
 /// Number of bytes to read of a file, enough to decode it or to detect that it is too long.
 pub const READ_LIMIT: usize = MAX_FILE_BYTES + HEADER_BYTES;
-/// Length of the file header.
+/// Length of the file header, which the records follow.
 pub const HEADER_BYTES: usize = 44;
 
 /// Every file begins with these bytes.
@@ -77,7 +77,7 @@
     /// Sequence number, one higher with each snapshot written. Of two snapshots, the one with the
     /// higher number is newer.
     pub sequence: u64,
-    /// Time of writing.
+    /// Time on the host's clock at which the snapshot was written.
     pub written_at: Timestamp,
     /// The records, the most important first, since records that exceed the size limit are omitted
     /// from the end.
--- a/crates/snapshot/src/records/endpoint.rs
+++ b/crates/snapshot/src/records/endpoint.rs
@@ -27,7 +27,7 @@
 /// Slowdown, load and ejection of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// When it was observed.
+    /// Time of observation, which the slowdown is decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The observed process.
@@ -72,7 +72,8 @@
     }
 }
 
-/// Attempt outcomes of one endpoint under one build, for each of the policy's tests by its index.
+/// Attempt outcomes of one endpoint under one build, for each of the policy's statistical tests, in
+/// the order of `EvidenceTest::ALL`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
     /// Time of observation, which the sums are decayed to.
@@ -94,7 +95,7 @@
 /// One entry of the endpoint list that was last received.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpointRecord {
-    /// When discovery last confirmed the list.
+    /// Time of observation: when discovery last confirmed the list.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// Version of the list.
--- a/crates/snapshot/src/records/fleet.rs
+++ b/crates/snapshot/src/records/fleet.rs
@@ -10,7 +10,7 @@
 /// Load, slowdown and baseline of the endpoints of one hardware class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HardwareClassRecord {
-    /// When it was observed: the time that the sums have decayed to.
+    /// Time of observation, which the sums are decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// Name of the class in the endpoint list.
@@ -31,7 +31,7 @@
 /// Baseline latency of one route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteRecord {
-    /// When it was observed: the time that the sums have decayed to.
+    /// Time of observation, which the sums are decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// Name of the route; empty for all routes together.
@@ -44,21 +44,21 @@
 /// The fleet's baseline from before the rollout in progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetBaselineRecord {
-    /// When the baseline was taken.
+    /// Time of observation: when the baseline was taken.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
-    /// Number of outcomes.
+    /// Number of outcomes when the baseline was taken. Counts decay, so it may be fractional.
     pub outcomes: f64,
-    /// Number of slow outcomes among them.
+    /// Number of slow outcomes among them; only slowness counts as failure in this baseline.
     #[serde(rename = "hits")]
     pub failures: f64,
     /// How unevenly outcomes and failures are distributed over the endpoints.
     #[serde(rename = "spread", with = "array")]
     pub dispersion: Dispersion,
-    /// Number of endpoints in service.
+    /// Number of endpoints in service when the baseline was taken.
     #[serde(rename = "machines")]
     pub endpoints: usize,
-    /// Attempts per second made by this instance.
+    /// Attempts per second that this instance made when the baseline was taken.
     #[serde(rename = "sends")]
     pub attempts_per_second: f64,
 }
@@ -66,7 +66,7 @@
 /// Slowdowns of this instance's zone and of the other zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZonesRecord {
-    /// When it was observed: the time that the sums have decayed to.
+    /// Time of observation, which the sums are decayed to.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// Decaying sum of the slowdowns and number of responses, for the instance's own zone and for
--- a/crates/snapshot/src/records/rollout.rs
+++ b/crates/snapshot/src/records/rollout.rs
@@ -9,7 +9,7 @@
 /// A build that was rejected: this instance found that it has to be rolled back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RejectedBuildRecord {
-    /// When it was rejected.
+    /// Time of observation: when this instance rejected the build.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The rejected build.
@@ -20,7 +20,7 @@
 /// The lowest build that requests with an idempotency key may be sent to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyBuildRecord {
-    /// When it was stored.
+    /// Time of observation: when the record was collected for the snapshot.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The idempotency key.
@@ -33,7 +33,7 @@
 /// State of the newest build's rollout, as last announced by the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// When it was stored.
+    /// Time of observation: when the record was collected for the snapshot.
     #[serde(rename = "seen", with = "unix_micros")]
     pub observed_at: Timestamp,
     /// The newest build.
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -58,7 +58,7 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the directory: reads the newest complete snapshot, quarantines unreadable files and
+    /// Opens the directory: reads the newest complete snapshot, quarantines unusable files and
     /// removes the temporary file of an interrupted save.
     pub fn open(disk: D) -> (Store<D>, StoreContents) {
         Store::open_with(disk, format::decode)
@@ -163,7 +163,7 @@
     }
 }
 
-/// Reads one generation and quarantines its file if it is unreadable. Returns the sequence number
+/// Reads one generation and quarantines its file if it is unusable. Returns the sequence number
 /// of the snapshot, or 0 if there is none.
 fn open_slot<D: Disk>(
     disk: &mut D,
--- a/crates/snapshot/src/store/quarantine.rs
+++ b/crates/snapshot/src/store/quarantine.rs
@@ -1,4 +1,4 @@
-//! Renames unreadable files, so that they can be inspected later, and limits their number.
+//! Renames unusable files, so that they can be inspected later, and limits their number.
 
 use std::io;
 
--- a/crates/snapshot/src/store/read.rs
+++ b/crates/snapshot/src/store/read.rs
@@ -31,10 +31,10 @@
     }
 }
 
-/// Whether an unusable file was quarantined.
+/// Outcome of the quarantine of an unusable file, that is of its renaming.
 #[derive(Debug)]
 pub enum Quarantine {
-    /// The file was only read, so it keeps its name.
+    /// The directory was only read, so the file keeps its name.
     NotAttempted,
     /// The file was renamed to this name.
     RenamedTo(String),
@@ -49,7 +49,7 @@
     pub name: String,
     /// The reason why it cannot be used.
     pub error: ReadError,
-    /// Whether it was quarantined.
+    /// Outcome of its quarantine.
     pub quarantine: Quarantine,
 }
 
--- a/crates/snapshot/tests/compatibility.rs
+++ b/crates/snapshot/tests/compatibility.rs
@@ -14,12 +14,12 @@
     RolloutRecord, RouteRecord, ZonesRecord,
 };
 
-/// Written at commit a3d70cc; see `data/README.md`.
+/// A snapshot file that the program of commit a3d70cc wrote; see `data/README.md`.
 const ALL_RECORD_KINDS: &[u8] = include_bytes!("data/all-record-kinds.memory");
 
-/// Written by a running proxy instance at the same commit.
+/// A snapshot file that a running proxy instance of the same commit wrote.
 const RUNNING_PROXY: &[u8] = include_bytes!("data/running-proxy.memory");
-/// The records that the program at that commit decoded from it, one per line.
+/// The records that the program of that commit decoded from [`RUNNING_PROXY`], one per line.
 const RUNNING_PROXY_RECORDS: &str = include_str!("data/running-proxy.records.txt");
 
 /// Time of observation of most records, in microseconds since the Unix epoch.
--- a/crates/snapshot/tests/format.rs
+++ b/crates/snapshot/tests/format.rs
@@ -11,7 +11,7 @@
 };
 use tidescale_snapshot::records::{KeyBuildRecord, Record};
 
-/// Written by version 1 and never regenerated, since every later version has to read it.
+/// A file of format version 1. It is never regenerated, since every later version has to read it.
 const VERSION_1_FILE: &[u8] = include_bytes!("version-1.memory");
 
 #[test]
--- a/crates/snapshot/tests/store.rs
+++ b/crates/snapshot/tests/store.rs
@@ -1,4 +1,4 @@
-//! Quarantine of unreadable files, use of the other generation, and removal of a store's files.
+//! Quarantine of unusable files, use of the other generation, and removal of a store's files.
 
 mod common;
 
