--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -18,7 +18,7 @@
     Complete(Vec<EndpointEntry<'a>>),
     /// Only the endpoints that have changed.
     Changes(Vec<EndpointEntry<'a>>),
-    /// Polling the endpoint list has failed.
+    /// Polling the endpoint list has failed, so there are no entries.
     Failed,
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -77,8 +77,8 @@
         /// The rejected text.
         text: String,
     },
-    /// The answer slack is shorter than a tick: the policy could not respond in time even if it
-    /// were stepped at each tick.
+    /// The answer slack, the time by which a response may miss its deadline, is shorter than a
+    /// tick: the policy could not respond in time even if it were stepped at each tick.
     #[error("rules.answer_slack: {} us are less than a tick", whole_micros(*slack))]
     AnswerSlackBelowTick {
         /// Value of `rules.answer_slack`.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -59,10 +59,10 @@
         .collect()
 }
 
-/// Rejects an answer slack that is shorter than the simulator's tick, if there is a setting for the
-/// tick. The policy acts on a deadline in the step in which it passes, so the slack has to cover
-/// the time between two steps. The adapter adds nothing to the configured slack, whereas the proxy
-/// on sockets adds 50 ms.
+/// Rejects an answer slack, the time by which a response may miss its deadline, that is shorter
+/// than the simulator's tick, if there is a setting for the tick. The policy acts on a deadline in
+/// the step in which it passes, so the slack has to cover the time between two steps. The adapter
+/// adds nothing to the configured slack, whereas the proxy on sockets adds 50 ms.
 fn check_answer_slack(raw: &RawSettings) -> Result<(), AdapterError> {
     let slack = raw.duration("rules.answer_slack")?;
     match raw.duration("tick") {
