--- a/crates/experiments/src/disk.rs
+++ b/crates/experiments/src/disk.rs
@@ -13,7 +13,7 @@
 /// Each injected fault has to be detected within this number of save histories.
 const MAX_HISTORIES: u64 = 200;
 
-/// Arguments of `disk`.
+/// Which save histories `disk` simulates: consecutive seeds from a first one.
 #[derive(Args)]
 pub struct DiskArgs {
     /// Number of histories.
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -155,7 +155,7 @@
     /// A snapshot file is damaged.
     #[error("damaged file after kill {kill}: {damage}")]
     DamagedFile {
-        /// Number of the kill.
+        /// Number of the kill in its directory, counted from 1.
         kill: u64,
         /// The store's description of the damage.
         damage: String,
--- a/crates/experiments/src/restart.rs
+++ b/crates/experiments/src/restart.rs
@@ -33,7 +33,7 @@
     scenario: Scenario,
     window: Window,
     /// Least difference between the shares of answers within the objective with and without a
-    /// snapshot.
+    /// snapshot, each the median over the runs.
     min_gain: f64,
 }
 
@@ -57,7 +57,8 @@
     },
 ];
 
-/// Arguments of `restart`.
+/// Number and seeds of the runs of `restart`, the proxy that they start, and where results are
+/// written.
 #[derive(Args)]
 pub struct RestartArgs {
     /// Runs of each scenario with a snapshot, and as many without; 0 measures only the cost of
--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -43,7 +43,7 @@
     pub(super) number: RunNumber,
     /// Faults during the run.
     pub(super) scenario: Scenario,
-    /// Whether the instance saves a snapshot and starts with it.
+    /// With or without a snapshot.
     pub(super) kind: RestartKind,
     /// Seed of the instance's random numbers and of the time of the kill.
     pub(super) seed: u64,
@@ -54,7 +54,7 @@
     /// Faults during the run.
     pub(super) scenario: Scenario,
     pub(super) seed: u64,
-    /// Whether the instance started with a snapshot.
+    /// With or without a snapshot.
     pub(super) kind: RestartKind,
     /// Share of the requests after the restart that were answered within the objective.
     pub(super) within_objective: ByWindow,
@@ -66,7 +66,8 @@
     pub(super) attempts_at_draining: f64,
     /// Attempts at endpoints with the candidate after the restart.
     pub(super) attempts_at_candidate: f64,
-    /// Milliseconds from the restart to the first vote to roll back the bad build.
+    /// Milliseconds from the restart to the first vote to roll back the bad build; NaN if there was
+    /// none.
     pub(super) rollback_vote_ms: f64,
     /// Attempts at the slow or formerly slow endpoint in the second half of the time after the
     /// restart, relative to an even distribution.
--- a/crates/experiments/src/restart/scenario.rs
+++ b/crates/experiments/src/restart/scenario.rs
@@ -24,12 +24,12 @@
 /// Number of endpoints that run the candidate if there is one; they come first in the list.
 pub(super) const CANDIDATE_ENDPOINT_COUNT: usize = 3;
 
-/// Whether an instance saves a snapshot and starts with it.
+/// How an instance is restarted: with or without a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RestartKind {
-    /// The instance starts without learned state.
+    /// The instance saves no snapshot and starts without learned state.
     WithoutSnapshot,
-    /// The instance starts with the state that it had learned before the kill.
+    /// The instance saves snapshots and starts with the state that it had learned before the kill.
     WithSnapshot,
 }
 
--- a/crates/experiments/src/saver.rs
+++ b/crates/experiments/src/saver.rs
@@ -25,7 +25,7 @@
 /// before it is killed.
 const LOCK_POLL: Duration = Duration::from_millis(1);
 
-/// Arguments of `saver`.
+/// Where `saver` stores its snapshots.
 #[derive(Args)]
 pub struct SaverArgs {
     /// Directory for the snapshots.
--- a/crates/experiments/src/stand_ins/endpoint.rs
+++ b/crates/experiments/src/stand_ins/endpoint.rs
@@ -19,7 +19,7 @@
 /// Object id of the type `bytea`, which the only field of a row has.
 const BYTEA_TYPE: u32 = 17;
 
-/// Behavior of an endpoint, which can be changed at run time.
+/// Behavior of an endpoint, which can be changed at run time, and the number of its requests.
 #[derive(Default)]
 pub struct Behavior {
     /// Mean response time in milliseconds.
--- a/crates/experiments/src/torture.rs
+++ b/crates/experiments/src/torture.rs
@@ -2,6 +2,9 @@
 //! one after another, reports each save, and is killed at a random time. The state that is read
 //! back afterwards has to be complete. It has to be the last one that was reported as saved, or a
 //! later one whose save had begun. The directory must contain no files but the snapshots.
+//!
+//! Several such sequences run in parallel, each in its own directory. The option `--lanes` sets
+//! their number; the summary line calls the directories folders.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -30,7 +33,7 @@
 /// The only files that a directory may contain.
 const SNAPSHOT_FILES: [&str; 2] = ["memory.0", "memory.1"];
 
-/// Arguments of `torture`.
+/// How many processes `torture` kills, at which times, and in which directories.
 #[derive(Args)]
 pub struct TortureArgs {
     /// Number of kills, over all directories.
@@ -116,7 +119,8 @@
     )
 }
 
-/// A sequence of kills in one directory.
+/// A sequence of kills in one directory: each process continues from the files that the one before
+/// it left.
 struct KillSequence<'a> {
     program: &'a Path,
     directory: PathBuf,
--- a/crates/experiments/src/trace.rs
+++ b/crates/experiments/src/trace.rs
@@ -17,10 +17,10 @@
 const TRIALS_PER_MEDIUM_FLEET: u64 = 10;
 /// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 10;
-/// Share of the trials with a good build.
+/// Probability that a trial has a good build.
 const GOOD_SHARE: f64 = 0.5;
 
-/// Arguments of `trace`.
+/// Which trials `trace` runs: consecutive seeds from a first one.
 #[derive(Args)]
 pub struct TraceArgs {
     /// Seed of the first trial; it increases by one for each further trial.
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -35,6 +35,7 @@
 }
 
 impl Fleet {
+    /// Returns the simulated size. The words of the option differ from the names of the sizes.
     fn size(self) -> FleetSize {
         match self {
             Fleet::Small => FleetSize::SMALL,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Arguments of `verdicts`.
+/// Which trials `verdicts` runs, what triggers their rollbacks, and where results are written.
 #[derive(Args)]
 pub struct VerdictsArgs {
     /// Seed of the first trial; it increases by one for each further trial.
--- a/crates/experiments/src/verdicts/charts.rs
+++ b/crates/experiments/src/verdicts/charts.rs
@@ -7,7 +7,7 @@
 use crate::bar_chart::{BarChart, Series};
 use crate::error::ExperimentError;
 
-/// A group of builds whose harm lies within a range.
+/// A group of builds whose harm, a share of the served weight, lies within a range.
 struct HarmGroup {
     name: &'static str,
     harm: Range<f64>,
--- a/crates/experiments/src/verdicts/interval.rs
+++ b/crates/experiments/src/verdicts/interval.rs
@@ -14,7 +14,7 @@
     pub(super) total: usize,
 }
 
-/// A confidence interval.
+/// A confidence interval of a share between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Interval {
     pub(super) lower: f64,
--- a/crates/experiments/src/verdicts/trials.rs
+++ b/crates/experiments/src/verdicts/trials.rs
@@ -10,12 +10,13 @@
 /// Random stream from which cases are drawn, separate from those of the trials.
 const CASE_STREAM: u64 = 0;
 /// A build is harmful if at least this share of the served weight is lost while it serves on the
-/// whole fleet.
+/// whole fleet. Weight is the priority weight of requests.
 const HARM_THRESHOLD: f64 = 0.03;
 /// Seconds at the end of a trial over which harm is measured; without votes, the whole fleet runs
 /// the build by then.
 const HARM_WINDOW_SECONDS: usize = 8;
-/// Share of the trials without a confounder.
+/// Probability that a trial has no confounder. Otherwise it has one of [`Confounder::ALL`], which
+/// also contains `None`.
 const NO_CONFOUNDER_SHARE: f64 = 0.5;
 
 /// The case and the results of a trial.
@@ -24,11 +25,10 @@
     pub(super) build: BuildBehavior,
     /// Disturbance that the build does not cause.
     pub(super) confounder: Confounder,
-    /// Share of the served weight that the build alone loses; 0 for a good build.
+    /// Share of the served priority weight that the build alone loses; 0 for a good build.
     pub(super) harm: f64,
-    /// Served weight as a share of the offered weight, over the whole trial.
+    /// Priority weight of the served requests as a share of that of all requests in the trial.
     pub(super) served_share: f64,
-    /// Result of the trial.
     pub(super) outcome: TrialOutcome,
 }
 
--- a/crates/experiments/tests/short.rs
+++ b/crates/experiments/tests/short.rs
@@ -66,11 +66,14 @@
     );
 }
 
-/// A rollback trigger of `verdicts`, and whether the experiment has to report that a rate exceeds its
-/// limit.
+/// A run of `verdicts` with one of its rollback triggers.
 struct RollbackTriggerCase {
+    /// Value of the option `--word`, which selects what triggers a rollback: `module` for the votes
+    /// of the policy, or one of the wrong triggers `never` and `first` (the first failure).
     rollback_trigger: &'static str,
+    /// Number of trials.
     runs: &'static str,
+    /// Whether the experiment has to report that a rate exceeds its limit.
     exceeds_limit: bool,
 }
 
