--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -35,6 +35,7 @@
 }
 
 impl Fleet {
+    /// Returns the simulated size. The words of the option differ from the names of the sizes.
     fn size(self) -> FleetSize {
         match self {
             Fleet::Small => FleetSize::SMALL,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Arguments of `verdicts`.
+/// Which trials `verdicts` runs, what triggers their rollbacks, and where results are written.
 #[derive(Args)]
 pub struct VerdictsArgs {
     /// Seed of the first trial; it increases by one for each further trial.
@@ -152,8 +153,8 @@
             false_rollbacks.lower > MAX_FALSE_ROLLBACK_RATE || missed.lower > MAX_MISSED_RATE;
         Err(ExperimentError::RatesNotConfirmed {
             summary,
-            false_rollbacks: 100.0 * MAX_FALSE_ROLLBACK_RATE,
-            missed: 100.0 * MAX_MISSED_RATE,
+            max_false_rollback_percent: 100.0 * MAX_FALSE_ROLLBACK_RATE,
+            max_missed_percent: 100.0 * MAX_MISSED_RATE,
             finding: if is_broken { "broken" } else { "not shown" },
         })
     }
