--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -191,7 +191,7 @@
             };
             self.key_builds.record(request, answer, &self.context);
         }
-        if !attempt.evidence_complete() {
+        if !attempt.evidence_finalized() {
             self.record_evidence(id, outcome, duration);
         }
         let endpoint = self.endpoints.with_class(index);
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -10,7 +10,7 @@
     pub(crate) hedge_due: bool,
     /// The attempt must not be recorded as evidence any more: it was recorded when it exceeded its
     /// time limit, or its request was already finished.
-    pub(crate) evidence_complete: bool,
+    pub(crate) evidence_finalized: bool,
 }
 
 /// State of an attempt.
@@ -19,7 +19,7 @@
     /// The attempt has been sent, and no part of a response has arrived.
     AwaitingResponse(AwaitingResponse),
     /// The response is streaming to the client; no time limit applies any more.
-    Streaming { evidence_complete: bool },
+    Streaming { evidence_finalized: bool },
     /// The attempt has ended.
     Finished { may_have_executed: bool },
 }
@@ -92,10 +92,10 @@
     }
 
     /// Returns whether the attempt must not be recorded as evidence any more.
-    pub(crate) fn evidence_complete(&self) -> bool {
+    pub(crate) fn evidence_finalized(&self) -> bool {
         match self.state {
-            AttemptState::AwaitingResponse(waiting) => waiting.evidence_complete,
-            AttemptState::Streaming { evidence_complete } => evidence_complete,
+            AttemptState::AwaitingResponse(waiting) => waiting.evidence_finalized,
+            AttemptState::Streaming { evidence_finalized } => evidence_finalized,
             AttemptState::Finished { .. } => true,
         }
     }
@@ -103,8 +103,8 @@
     /// Marks the response as streaming to the client.
     pub(super) fn start_streaming(&mut self) {
         if let AttemptState::AwaitingResponse(waiting) = self.state {
-            let evidence_complete = waiting.evidence_complete;
-            self.state = AttemptState::Streaming { evidence_complete };
+            let evidence_finalized = waiting.evidence_finalized;
+            self.state = AttemptState::Streaming { evidence_finalized };
         }
     }
 
--- a/crates/policy/src/retries/timeouts.rs
+++ b/crates/policy/src/retries/timeouts.rs
@@ -92,12 +92,12 @@
                 && age > objective
                 && self.settings.health_checks,
             counts_as_in_flight: age <= counted_until,
-            has_timed_out: !state.evidence_complete && (is_late || state.hedge_due && is_finished),
-            must_be_cancelled: !state.evidence_complete
+            has_timed_out: !state.evidence_finalized && (is_late || state.hedge_due && is_finished),
+            must_be_cancelled: !state.evidence_finalized
                 && is_finished
                 && self.settings.cancel_attempts,
         };
-        attempt.state.evidence_complete |= is_finished || is_late;
+        attempt.state.evidence_finalized |= is_finished || is_late;
         attempt.state.hedge_due |= self.is_hedge_due(attempt, age, objective);
         timeout
     }
