--- a/crates/policy/tests/policy/retries.rs
+++ b/crates/policy/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests.
+//! Retries and hedged attempts.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn second_attempt_waits_for_the_end_of_the_first_without_known_latencies() {
-    // A hedged request would double the load under congestion, and a request that is expensive
+    // A hedged attempt would double the load under congestion, and a request that is expensive
     // takes as long at another endpoint.
     let mut instance = Instance::new(settings());
     let request = RequestBuilder::new(IDEMPOTENT).time_remaining(millis(2000));
@@ -158,7 +158,7 @@
         });
         let is_cancel = |decision: &Decision| matches!(decision, Decision::CancelAttempt { .. });
         assert_eq!(decisions.filtered(is_cancel), [cancel(900)], "{name}");
-        // The first attempt's latency must be included in the mean, or each hedged request would
+        // The first attempt's latency must be included in the mean, or each hedged attempt would
         // lower the latency estimate.
         let latency_after = mean_latency(&mut instance);
         let is_counted = latency_after > latency_before * 1.01;
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -18,8 +18,9 @@
 /// connections does not delay the established ones.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 
-/// What is known about connections that wait to be accepted. The listener is registered
-/// edge-triggered, so the event loop reports only the first of them.
+/// State of the listener after the last readiness event or call of `accept`. The listener is
+/// registered edge-triggered, so of several waiting connections the event loop reports only the
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
     /// No connection waits.
