--- a/crates/policy/src/balancer/events.rs
+++ b/crates/policy/src/balancer/events.rs
@@ -305,11 +305,11 @@
     }
 
     /// Updates the health and failure history of an endpoint with the outcome of an attempt.
-    fn record_health(&mut self, ended: EndpointOutcome) {
-        let EndpointOutcome { endpoint, outcome } = ended;
+    fn record_health(&mut self, attempt: EndpointOutcome) {
+        let EndpointOutcome { endpoint, outcome } = attempt;
         let change = self
             .health
-            .record_outcome(ended, &self.endpoints, &self.context);
+            .record_outcome(attempt, &self.endpoints, &self.context);
         self.apply_health_change(endpoint, change);
         let is_caused_by_load =
             outcome == AttemptOutcome::TimedOut && self.limits.fleet_is_overloaded();
@@ -363,11 +363,11 @@
             AttemptOutcome::Refused | AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
         );
         self.requests.resolve_crash_suspicion(index, is_down);
-        let ended = EndpointOutcome {
+        let check = EndpointOutcome {
             endpoint: index,
             outcome,
         };
-        let change = self.health.record_check(ended, &self.endpoints, now);
+        let change = self.health.record_check(check, &self.endpoints, now);
         self.apply_health_change(index, change);
     }
 }
--- a/crates/policy/src/health/checker.rs
+++ b/crates/policy/src/health/checker.rs
@@ -164,11 +164,11 @@
     /// endpoint or, in panic mode, return it to service.
     pub(crate) fn record_outcome(
         &mut self,
-        ended: EndpointOutcome,
+        attempt: EndpointOutcome,
         endpoints: &EndpointTable,
         context: &StepContext,
     ) -> HealthChange {
-        let EndpointOutcome { endpoint, outcome } = ended;
+        let EndpointOutcome { endpoint, outcome } = attempt;
         let now = context.now;
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let ends_panic_mode = succeeded && self.all_ejected(endpoints);
@@ -196,13 +196,13 @@
     /// Records the outcome of a health check, which may return the endpoint to service.
     pub(crate) fn record_check(
         &mut self,
-        ended: EndpointOutcome,
+        check: EndpointOutcome,
         endpoints: &EndpointTable,
         now: Timestamp,
     ) -> HealthChange {
-        let passed = ended.outcome == AttemptOutcome::Succeeded;
+        let passed = check.outcome == AttemptOutcome::Succeeded;
         let panic_mode = self.all_ejected(endpoints);
-        if self.endpoints[ended.endpoint].record_check(passed, panic_mode, now) {
+        if self.endpoints[check.endpoint].record_check(passed, panic_mode, now) {
             HealthChange::ReturnedToService
         } else {
             HealthChange::None
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -34,7 +34,7 @@
     /// Estimated number of requests in flight at the endpoint.
     pub(crate) endpoint_load: f64,
     /// The other arm of the evaluation had an endpoint in service.
-    pub(crate) has_concurrent_baseline: bool,
+    pub(crate) other_arm_in_service: bool,
     /// The fleet was comparable with its baseline from before the rollout.
     pub(crate) comparable_to_baseline: bool,
 }
--- a/crates/policy/src/rollout/attempt_conditions.rs
+++ b/crates/policy/src/rollout/attempt_conditions.rs
@@ -29,7 +29,7 @@
     let is_candidate = fleet
         .rollout
         .is_some_and(|rollout| endpoint.build() >= rollout.build);
-    let other_arm = if is_candidate {
+    let other_arm_count = if is_candidate {
         fleet.in_service.baseline
     } else {
         fleet.in_service.candidate
@@ -39,7 +39,7 @@
         past_start_up: has_run_for(START_UP_GRACE_PERIOD),
         warm: has_run_for(START_UP_GRACE_PERIOD.max(context.settings.warm_up_time)),
         endpoint_load: target.load,
-        has_concurrent_baseline: other_arm > 0,
+        other_arm_in_service: other_arm_count > 0,
         comparable_to_baseline,
     }
 }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -106,14 +106,14 @@
     // The latency of an error response does not measure the speed of the build.
     let lacks_latency = matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Malformed);
     let is_slow = is_slow.filter(|_| !lacks_latency);
-    let has_baseline = attempt.conditions.has_concurrent_baseline;
+    let other_arm_in_service = attempt.conditions.other_arm_in_service;
     // Attempts that were in flight when the rollout began are long ones, and counting them would
     // make the fleet look slower than its baseline.
     let fleet_is_comparable =
         attempt.conditions.comparable_to_baseline && attempt.sent_at >= fleet_baseline.taken_at;
     Some(EvidenceTestMap::new([
-        has_baseline.then_some(is_failure),
-        is_slow.filter(|_| has_baseline),
+        other_arm_in_service.then_some(is_failure),
+        is_slow.filter(|_| other_arm_in_service),
         // Connection resets and malformed responses can also be caused by the network or by a peer.
         // They are not errors here, because this test may run without a concurrent baseline.
         Some(outcome == AttemptOutcome::Failed),
