--- a/crates/policy/src/endpoints/load.rs
+++ b/crates/policy/src/endpoints/load.rs
@@ -29,7 +29,7 @@
 pub(crate) struct EndpointLoad {
     /// Requests in flight according to recent reports, but at least this instance's own attempts.
     pub(crate) in_flight: f64,
-    /// Mean of the reports from endpoints of the hardware class.
+    /// Mean of the requests in flight that endpoints of the hardware class reported.
     pub(crate) class_mean: f64,
 }
 
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Returns the sum and the number of the reports of a hardware class.
+    /// Returns the decayed sum of the reported requests in flight at the endpoints of a hardware
+    /// class, and the decayed number of those reports.
     pub(crate) fn class_reports(
         &mut self,
         class: HardwareClassIndex,
@@ -126,7 +127,7 @@
         self.classes[class].read(now)
     }
 
-    /// Restores the reports of a hardware class from a snapshot.
+    /// Restores the decayed sum and number of the reports of a hardware class from a snapshot.
     pub(crate) fn restore_class(
         &mut self,
         class: HardwareClassIndex,
--- a/crates/policy/src/latency/model.rs
+++ b/crates/policy/src/latency/model.rs
@@ -33,6 +33,7 @@
     pub(crate) endpoint: EndpointWithClass,
     /// Whether the endpoint is in another zone than this instance.
     pub(crate) in_other_zone: bool,
+    /// Route and cost of the request.
     pub(crate) work: RequestWork,
     pub(crate) latency: Duration,
     /// Requests in flight at the endpoint, including the measured one.
@@ -155,7 +156,8 @@
         self.endpoints[index].add(FAILURE_SLOWDOWN, now);
     }
 
-    /// Returns the baseline latency of this work, if there are enough measurements.
+    /// Returns the baseline latency of a request of this route and cost, if there are enough
+    /// measurements.
     pub(crate) fn expected_latency(
         &mut self,
         work: RequestWork,
@@ -178,8 +180,8 @@
         self.routes.response_count()
     }
 
-    /// Returns the baseline of this work on endpoints of a hardware class, if there are enough
-    /// measurements.
+    /// Returns the baseline of a request of this route and cost on endpoints of a hardware class,
+    /// if there are enough measurements.
     pub(crate) fn class_baseline(
         &mut self,
         class: HardwareClassIndex,
@@ -196,7 +198,7 @@
         })
     }
 
-    /// Returns the current latency of work with this baseline latency, by hardware class.
+    /// Returns the current latency of a request with this baseline latency, by hardware class.
     pub(crate) fn expected_latency_by_class(
         &mut self,
         baseline: LatencyEstimate,
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -20,7 +20,8 @@
     AwaitingResponse(AwaitingResponse),
     /// The response is streaming to the client; no time limit applies any more.
     Streaming { evidence_finalized: bool },
-    /// The attempt has ended.
+    /// The attempt has ended. `may_have_executed` is false only if the endpoint certainly did not
+    /// execute the request.
     Finished { may_have_executed: bool },
 }
 
@@ -33,7 +34,8 @@
     pub(crate) warm: bool,
     /// Estimated number of requests in flight at the endpoint.
     pub(crate) endpoint_load: f64,
-    /// The other arm of the evaluation had an endpoint in service.
+    /// The other arm of the evaluation had an endpoint in service: the baseline if the attempt was
+    /// sent to the candidate, and the candidate if it was sent to the baseline.
     pub(crate) other_arm_in_service: bool,
     /// The fleet was comparable with its baseline from before the rollout.
     pub(crate) comparable_to_baseline: bool,
--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -300,7 +300,8 @@
     }
 }
 
-/// Returns the margin by which a score must exceed the upper bound because many instances vote.
+/// Returns the part of the margin above the upper bound that a score needs because many instances
+/// vote. [`evidence_margin`] is the other part.
 fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
@@ -316,8 +317,9 @@
     own.failures >= 1.0 && is_worse || evidence.restored_candidate(test).outcomes == 0.0
 }
 
-/// Returns the margin by which a score must exceed the upper bound. It grows as the outcomes come
-/// from fewer endpoints, because a single endpoint may be affected by a noisy neighbour.
+/// Returns the part of the margin above the upper bound that a score needs because of its test and
+/// evidence; [`instance_margin`] is the other part. It grows as the outcomes come from fewer
+/// endpoints, because a single endpoint may be affected by a noisy neighbour.
 fn evidence_margin(evidence: &Evidence, test: EvidenceTest) -> f64 {
     // Without a concurrent baseline, the errors may have been caused by a few endpoints rather than
     // by the build, so the larger margin applies.
--- a/crates/policy/src/routing/selector.rs
+++ b/crates/policy/src/routing/selector.rs
@@ -23,8 +23,8 @@
 use crate::types::{BuildNumber, EndpointIndex, HardwareClassIndex, RouteIndex};
 use crate::warm_up::{SlowStart, warm_up_fraction};
 
-/// Share of the time remaining until the objective is missed, within which an endpoint should
-/// respond. Endpoints that are expected to take longer are avoided.
+/// Endpoints are avoided if their expected latency exceeds this share of the time that remains
+/// until the request misses its latency objective.
 const RESPONSE_TIME_SHARE: f64 = 0.6;
 /// This instance's zone is preferred while its slowdown is at most this multiple, plus
 /// [`CROSS_ZONE_FACTOR`] times the cross-zone price, of the slowdown of the other zones.
@@ -32,7 +32,8 @@
 /// Multiplier of the cross-zone price, both in the preference for this instance's zone and in the
 /// cost of endpoints in other zones.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
-/// Lower bound of the slowdown that enters the cost of an endpoint.
+/// Lower bound of the slowdown, the latency divided by the baseline latency, in the cost of an
+/// endpoint.
 const MIN_SLOWDOWN: f64 = 0.1;
 
 /// State that endpoint selection depends on.
--- a/crates/simulation/src/confounder.rs
+++ b/crates/simulation/src/confounder.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// Range of the upper limit on the share of impaired endpoints.
+/// Range from which the target share of impaired endpoints is drawn. The limits below may reduce
+/// the target, which is at least one endpoint.
 const IMPAIRED_SHARE: Range<f64> = 0.08..0.25;
 /// In a small fleet, at most this number of endpoints is impaired.
 const SMALL_FLEET_IMPAIRED_LIMIT: usize = 3;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -91,7 +91,7 @@
         /// Name of the route.
         name: String,
     },
-    /// The outcome of an attempt or a health check is unknown.
+    /// The text is not a known outcome of an attempt or a health check.
     #[error("unknown outcome: {text}")]
     UnknownOutcome {
         /// The rejected text.
@@ -103,19 +103,19 @@
         /// The rejected text.
         text: String,
     },
-    /// The result of a vote is unknown.
+    /// The text is not a known result of a vote.
     #[error("unknown answer to a vote: {text}")]
     UnknownVoteResult {
         /// The rejected text.
         text: String,
     },
-    /// The phase of a rollout is unknown.
+    /// The text is not a known phase of a rollout.
     #[error("unknown course: {text}")]
     UnknownRolloutPhase {
         /// The rejected text.
         text: String,
     },
-    /// The kind of an endpoint list is unknown.
+    /// The text is not a known kind of endpoint list.
     #[error("unknown kind of list: {text}")]
     UnknownListKind {
         /// The rejected text.
@@ -124,7 +124,7 @@
     /// A `ROSTER_CHANGE` refers to a list for which no `INVENTORY` was read.
     #[error("a list that was never given")]
     UnknownEndpointList,
-    /// The state of an endpoint is unknown.
+    /// The state in a `ROW` line is not a known state of an endpoint.
     #[error("unknown readiness: {row}")]
     UnknownEndpointState {
         /// The endpoint's `ROW` line.
