--- a/crates/policy/src/balancer/persistence.rs
+++ b/crates/policy/src/balancer/persistence.rs
@@ -34,7 +34,7 @@
             return;
         }
         let reported = self.loads.reported(index);
-        sink.endpoint(EndpointRecord {
+        sink.save_endpoint(EndpointRecord {
             name: &endpoint.name,
             zone: &endpoint.zone,
             cell: endpoint.cell,
@@ -74,7 +74,7 @@
     /// restored. No attempt is counted in both.
     fn save_outcomes_of(&mut self, key: OutcomeKey, sink: &mut dyn SnapshotSink) {
         let total = self.evaluator.total_outcomes(key, self.context.now);
-        sink.outcomes(OutcomeRecord {
+        sink.save_outcomes(OutcomeRecord {
             endpoint: &self.endpoints[key.endpoint].name,
             build: key.build,
             outcomes: total.outcomes.as_slice(),
@@ -85,7 +85,7 @@
     /// Saves all records except those of endpoints and outcomes.
     pub fn save_remaining_records(&mut self, sink: &mut dyn SnapshotSink) {
         if let Some(rollout) = self.rollout.current() {
-            sink.rollout(RolloutRecord {
+            sink.save_rollout(RolloutRecord {
                 build: rollout.build,
                 stage: rollout.stage,
                 phase: rollout.phase,
@@ -94,24 +94,24 @@
             });
         }
         for (key, build) in self.key_builds.iter() {
-            sink.key_build(key, build);
+            sink.save_key_build(key, build);
         }
         let now = self.context.now;
         if let Some(rejection) = self.evaluator.last_rejection(REJECTION_LIFETIME, now) {
-            sink.rejected_build(rejection.build, rejection.rejected_at);
+            sink.save_rejected_build(rejection.build, rejection.rejected_at);
         }
         self.save_hardware_classes(sink);
         self.save_routes(sink);
         self.save_fleet_baseline(sink);
         let zones = self.latency.zone_sums(now);
-        sink.zones(zones);
+        sink.save_zone_slowdowns(zones);
     }
 
     fn save_hardware_classes(&mut self, sink: &mut dyn SnapshotSink) {
         let now = self.context.now;
         for (class, name) in self.endpoints.classes() {
             let latency = self.latency.class_sums(class, now);
-            sink.hardware_class(HardwareClassRecord {
+            sink.save_hardware_class(HardwareClassRecord {
                 name,
                 load: Some(self.loads.class_reports(class, now)),
                 slowdown: Some(latency.slowdown),
@@ -125,14 +125,14 @@
         for (position, route) in self.context.settings.routes.iter().enumerate() {
             let index = Some(RouteIndex::new(position));
             if let Some(baseline) = self.latency.route_sums(index, now) {
-                sink.route(RouteRecord {
+                sink.save_route(RouteRecord {
                     route: Some(&route.name),
                     baseline,
                 });
             }
         }
         if let Some(baseline) = self.latency.route_sums(None, now) {
-            sink.route(RouteRecord {
+            sink.save_route(RouteRecord {
                 route: None,
                 baseline,
             });
@@ -142,7 +142,7 @@
     fn save_fleet_baseline(&self, sink: &mut dyn SnapshotSink) {
         let baseline = self.evaluator.fleet_baseline();
         if baseline.arm.outcomes > 0.0 {
-            sink.fleet_baseline(FleetBaselineRecord {
+            sink.save_fleet_baseline(FleetBaselineRecord {
                 taken_at: baseline.taken_at,
                 outcomes: baseline.arm.outcomes,
                 failures: baseline.arm.failures,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -180,21 +180,21 @@
 /// Receives the records of a snapshot. Decaying sums are as of the time of the call.
 pub trait SnapshotSink {
     /// Saves a listed endpoint.
-    fn endpoint(&mut self, record: EndpointRecord<'_>);
+    fn save_endpoint(&mut self, record: EndpointRecord<'_>);
     /// Saves a hardware class.
-    fn hardware_class(&mut self, record: HardwareClassRecord<'_>);
+    fn save_hardware_class(&mut self, record: HardwareClassRecord<'_>);
     /// Saves a route, or all routes together.
-    fn route(&mut self, record: RouteRecord<'_>);
+    fn save_route(&mut self, record: RouteRecord<'_>);
     /// Saves the outcomes of one endpoint under one build.
-    fn outcomes(&mut self, record: OutcomeRecord<'_>);
+    fn save_outcomes(&mut self, record: OutcomeRecord<'_>);
     /// Saves the rejection of a build.
-    fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp);
+    fn save_rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp);
     /// Saves the slowness of the fleet before the rollout.
-    fn fleet_baseline(&mut self, record: FleetBaselineRecord);
+    fn save_fleet_baseline(&mut self, record: FleetBaselineRecord);
     /// Saves the slowdowns by zone.
-    fn zones(&mut self, sums: ZoneSlowdownSums);
+    fn save_zone_slowdowns(&mut self, sums: ZoneSlowdownSums);
     /// Saves the latest build that has answered an idempotency key.
-    fn key_build(&mut self, key: &str, build: BuildNumber);
+    fn save_key_build(&mut self, key: &str, build: BuildNumber);
     /// Saves the rollout of the newest build.
-    fn rollout(&mut self, record: RolloutRecord);
+    fn save_rollout(&mut self, record: RolloutRecord);
 }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -118,7 +118,7 @@
         };
         has_connections_to_accept
             || !self.scheduled.is_empty()
-            || !self.waiting_for_buffers.is_empty() && !context.client_pool.is_exhausted()
+            || !self.waiting_for_buffers.is_empty() && !context.client_buffers.is_exhausted()
     }
 
     /// Returns the number of pending requests: those whose client waits for a response or that have
--- a/crates/proxy/src/clients/accepting.rs
+++ b/crates/proxy/src/clients/accepting.rs
@@ -73,7 +73,8 @@
         let accepted_in_shutdown = self.is_shutting_down;
         let inserted = self.connections.insert(|key: ClientKey| {
             let owner = Owner::client(key);
-            let connection = Connection::from_socket(context, socket, owner, &context.client_pool)?;
+            let connection =
+                Connection::from_socket(context, socket, owner, &context.client_buffers)?;
             Ok::<_, io::Error>(ClientConnection::new(connection, accepted_in_shutdown))
         });
         match inserted {
--- a/crates/proxy/src/clients/reading.rs
+++ b/crates/proxy/src/clients/reading.rs
@@ -83,7 +83,7 @@
         let Some(client) = self.connections.get_mut(key) else {
             return Err(io::ErrorKind::NotFound.into());
         };
-        let bytes_wanted = client.bytes_wanted(&context.client_pool);
+        let bytes_wanted = client.bytes_wanted(&context.client_buffers);
         let length_before = client.connection.input.len();
         let read = client.connection.read(bytes_wanted);
         let count = client.connection.input.len() - length_before;
--- a/crates/proxy/src/clients/requests.rs
+++ b/crates/proxy/src/clients/requests.rs
@@ -90,7 +90,7 @@
             time_remaining: statement.time_limit.saturating_sub(time_waited),
             cost_hint: None,
         };
-        let pending = valid.to_pending_request(key, &context.io.endpoint_pool);
+        let pending = valid.to_pending_request(key, &context.io.endpoint_buffers);
         if let Some(id) = self.requests.insert(pending) {
             client.state = ClientState::AwaitingResponse { request: id };
             context.policy.on_request(id, request);
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -57,9 +57,9 @@
     /// The socket cannot be created, or the connect fails immediately.
     pub fn connect(context: &IoContext, to: SocketAddr, owner: Owner) -> io::Result<Connection> {
         let pool = if owner.component == Component::Endpoint {
-            &context.endpoint_pool
+            &context.endpoint_buffers
         } else {
-            &context.control_pool
+            &context.control_buffers
         };
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -88,7 +88,7 @@
             token,
             handle: context.handle.clone(),
             input: Chain::new(pool),
-            output: Chain::new(&context.endpoint_pool),
+            output: Chain::new(&context.endpoint_buffers),
             // An accepted client may already have sent its first message.
             readable: owner.component == Component::Client,
         })
--- a/crates/proxy/src/context.rs
+++ b/crates/proxy/src/context.rs
@@ -82,13 +82,14 @@
 pub struct IoContext {
     /// The event loop in which sockets are registered.
     pub handle: LoopHandle<'static, ReadyEvents>,
-    /// Buffers for input from endpoints and for all output.
-    pub endpoint_pool: Pool,
-    /// Buffers for input from clients. The pool is separate so that clients cannot use up the
-    /// buffers needed to read the responses of endpoints.
-    pub client_pool: Pool,
-    /// Buffers for input from discovery and the platform.
-    pub control_pool: Pool,
+    /// Buffers for input from endpoints, for the statements and responses of requests, and for the
+    /// output of all connections.
+    pub endpoint_buffers: Pool,
+    /// Buffers for input from clients and for nothing else. The pool is separate so that clients
+    /// cannot use up the buffers needed to read the responses of endpoints.
+    pub client_buffers: Pool,
+    /// Buffers for input from discovery and the platform, and for nothing else.
+    pub control_buffers: Pool,
     /// The deadlines of all components.
     pub deadlines: Deadlines<Owner>,
     /// The logger of all components.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -104,9 +104,9 @@
         let buffers = BufferBudget::split(config.memory_mib);
         let context = IoContext {
             handle: event_loop.handle(),
-            endpoint_pool: buffers.endpoints,
-            client_pool: buffers.clients,
-            control_pool: buffers.control,
+            endpoint_buffers: buffers.endpoints,
+            client_buffers: buffers.clients,
+            control_buffers: buffers.control,
             deadlines: Deadlines::default(),
             log,
             now,
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -41,12 +41,12 @@
 }
 
 /// Writes a GET request.
-pub fn put_get(output: &mut Chain, host: &str, path: &str) {
+pub fn write_get_request(output: &mut Chain, host: &str, path: &str) {
     output.push(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes());
 }
 
 /// Writes a POST request with a URL-encoded form as its body.
-pub fn put_form(output: &mut Chain, host: &str, form: &str) {
+pub fn write_form_request(output: &mut Chain, host: &str, form: &str) {
     let head = format!(
         "POST / HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: {}\r\n\r\n",
         form.len()
--- a/crates/proxy/src/snapshot_writer/collector.rs
+++ b/crates/proxy/src/snapshot_writer/collector.rs
@@ -110,7 +110,7 @@
 }
 
 impl SnapshotSink for RecordSink<'_> {
-    fn endpoint(&mut self, record: EndpointRecord<'_>) {
+    fn save_endpoint(&mut self, record: EndpointRecord<'_>) {
         let Some(process) = self.listed_processes.process(record.name) else {
             return;
         };
@@ -142,7 +142,7 @@
         self.records.push(Record::Endpoint(endpoint));
     }
 
-    fn hardware_class(&mut self, record: HardwareClassRecord<'_>) {
+    fn save_hardware_class(&mut self, record: HardwareClassRecord<'_>) {
         let stored = records::HardwareClassRecord {
             observed_at: self.now,
             name: record.name.into(),
@@ -153,7 +153,7 @@
         self.records.push(Record::HardwareClass(stored));
     }
 
-    fn route(&mut self, record: RouteRecord<'_>) {
+    fn save_route(&mut self, record: RouteRecord<'_>) {
         let stored = records::RouteRecord {
             observed_at: self.now,
             route: record.route.unwrap_or_default().into(),
@@ -162,7 +162,7 @@
         self.records.push(Record::Route(stored));
     }
 
-    fn outcomes(&mut self, record: OutcomeRecord<'_>) {
+    fn save_outcomes(&mut self, record: OutcomeRecord<'_>) {
         let Some(process) = self.listed_processes.process(record.endpoint) else {
             return;
         };
@@ -176,7 +176,7 @@
         self.records.push(Record::Outcomes(stored));
     }
 
-    fn rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
+    fn save_rejected_build(&mut self, build: BuildNumber, rejected_at: Timestamp) {
         let stored = records::RejectedBuildRecord {
             observed_at: rejected_at,
             build,
@@ -184,7 +184,7 @@
         self.records.push(Record::RejectedBuild(stored));
     }
 
-    fn fleet_baseline(&mut self, record: FleetBaselineRecord) {
+    fn save_fleet_baseline(&mut self, record: FleetBaselineRecord) {
         let stored = records::FleetBaselineRecord {
             observed_at: record.taken_at,
             outcomes: record.outcomes,
@@ -196,7 +196,7 @@
         self.records.push(Record::FleetBaseline(stored));
     }
 
-    fn zones(&mut self, sums: ZoneSlowdownSums) {
+    fn save_zone_slowdowns(&mut self, sums: ZoneSlowdownSums) {
         let stored = records::ZonesRecord {
             observed_at: self.now,
             slowdowns: sums,
@@ -204,7 +204,7 @@
         self.records.push(Record::Zones(stored));
     }
 
-    fn key_build(&mut self, key: &str, build: BuildNumber) {
+    fn save_key_build(&mut self, key: &str, build: BuildNumber) {
         let stored = records::KeyBuildRecord {
             observed_at: self.now,
             key: key.into(),
@@ -213,7 +213,7 @@
         self.records.push(Record::KeyBuild(stored));
     }
 
-    fn rollout(&mut self, record: RolloutRecord) {
+    fn save_rollout(&mut self, record: RolloutRecord) {
         let stored = records::RolloutRecord {
             observed_at: self.now,
             build: record.build,
--- a/crates/proxy/src/stream/reconnecting.rs
+++ b/crates/proxy/src/stream/reconnecting.rs
@@ -141,7 +141,7 @@
             Ok(connection) => connection,
             Err(error) => return self.close_and_back_off(&error.into(), context),
         };
-        http::put_get(&mut connection.output, &self.address.to_string(), path);
+        http::write_get_request(&mut connection.output, &self.address.to_string(), path);
         self.state = State::Open(Box::new(OpenStream {
             connection,
             response: http::Response::default(),
--- a/crates/proxy/src/upstream/sending.rs
+++ b/crates/proxy/src/upstream/sending.rs
@@ -43,7 +43,7 @@
     ) -> Option<EndpointConnectionKey> {
         let key = self.acquire_for(new, context, clients)?;
         let connection = self.connections.get_mut(key)?;
-        let response = Chain::new(&context.endpoint_pool);
+        let response = Chain::new(&context.endpoint_buffers);
         connection.assign(Exchange::new(new.kind, new.deadline, context.now, response));
         connection.last_used_at = context.now;
         let deadline = connection.limit_by_connect_deadline(new.deadline);
--- a/crates/proxy/src/votes.rs
+++ b/crates/proxy/src/votes.rs
@@ -143,7 +143,7 @@
                 }
             }
         };
-        http::put_form(&mut connection.output, &self.address.to_string(), &form);
+        http::write_form_request(&mut connection.output, &self.address.to_string(), &form);
         // A failure is reported by the next read.
         let _ = connection.flush();
         self.state = State::Waiting(Box::new(PendingVote {
