--- a/crates/proxy/src/stream/persistent.rs
+++ b/crates/proxy/src/stream/persistent.rs
@@ -141,8 +141,9 @@
     ) {
         if let Some(previous) = &mut self.previous {
             previous.serve(context, &mut on_line);
-            // A closed previous stream is not reopened. After a change of address, its server is
-            // expected to close it.
+            // The previous stream is dropped once it is closed, not reopened: the current stream
+            // replaces it. After a change of address, the server at the old address is expected to
+            // close the previous stream.
             if !previous.is_open() {
                 self.drop_previous(context);
             }
