--- a/crates/experiments/src/torture.rs
+++ b/crates/experiments/src/torture.rs
@@ -3,8 +3,8 @@
 //! back afterwards has to be complete. It has to be the last one that was reported as saved, or a
 //! later one whose save had begun. The directory must contain no files but the snapshots.
 //!
-//! Several such sequences run in parallel, each in its own directory. The option `--lanes` sets
-//! their number; the summary line calls the directories folders.
+//! Processes are killed in several directories in parallel. The option `--lanes` sets the number of
+//! directories; the summary line calls them folders.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -43,8 +43,8 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Number of directories that are used in parallel.
-    #[arg(long, default_value_t = 8)]
-    lanes: u64,
+    #[arg(long = "lanes", value_name = "LANES", default_value_t = 8)]
+    directories: u64,
     /// Parent of the directories, which are removed at the end [default: the system's temporary
     /// directory].
     #[arg(long)]
@@ -78,31 +78,37 @@
 ///
 /// Returns an error if a process cannot be run, or if it leaves its files in an invalid state.
 pub fn run(args: &TortureArgs) -> Result<String, ExperimentError> {
-    let lanes = args.lanes.max(1);
-    let parent = args.dir.clone().unwrap_or_else(std::env::temp_dir);
-    let dir = parent.join(format!("tidescale-torture-{}", std::process::id()));
+    let directory_count = args.directories.max(1);
+    let parent = args
+        .dir
+        .clone()
+        .unwrap_or_else(std::env::temp_dir)
+        .join(format!("tidescale-torture-{}", std::process::id()));
     let program = std::env::current_exe().map_err(ExperimentError::during("find this program"))?;
-    fs::create_dir_all(&dir).map_err(ExperimentError::at(&dir))?;
-    let run_sequence = |sequence_index: u64| {
+    fs::create_dir_all(&parent).map_err(ExperimentError::at(&parent))?;
+    let kill_in_directory = |directory_index: u64| {
         let sequence = KillSequence {
             program: &program,
-            directory: dir.join(sequence_index.to_string()),
-            kills: args.kills / lanes + u64::from(sequence_index < args.kills % lanes),
+            directory: parent.join(directory_index.to_string()),
+            kills: args.kills / directory_count
+                + u64::from(directory_index < args.kills % directory_count),
             seed: args
                 .seed
                 .wrapping_mul(SEED_STRIDE)
-                .wrapping_add(sequence_index),
+                .wrapping_add(directory_index),
         };
         sequence.run()
     };
-    let reports: Result<Vec<KillReport>, _> =
-        (0..lanes).into_par_iter().map(run_sequence).collect();
+    let reports: Result<Vec<KillReport>, _> = (0..directory_count)
+        .into_par_iter()
+        .map(kill_in_directory)
+        .collect();
     // Leftover directories are harmless, and an error here must not hide the result.
-    let _ = fs::remove_dir_all(&dir);
-    Ok(summary(lanes, &reports?))
+    let _ = fs::remove_dir_all(&parent);
+    Ok(summary(directory_count, &reports?))
 }
 
-fn summary(lanes: u64, reports: &[KillReport]) -> String {
+fn summary(directory_count: u64, reports: &[KillReport]) -> String {
     let sum = |field: fn(&KillReport) -> u64| reports.iter().map(field).sum::<u64>();
     let slowest_start = reports
         .iter()
@@ -115,7 +121,8 @@
         sum(|report| report.kills),
         sum(|report| report.kills_during_save),
         sum(|report| report.saves),
-        slowest_start.as_millis()
+        slowest_start.as_millis(),
+        lanes = directory_count
     )
 }
 
