--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -24,7 +24,7 @@
     /// A Parquet file cannot be written.
     #[error("{}: {source}", path.display())]
     Table {
-        /// The file.
+        /// The Parquet file.
         path: PathBuf,
         /// The underlying error.
         source: ParquetError,
@@ -32,7 +32,7 @@
     /// A chart cannot be written.
     #[error("{}: {source}", path.display())]
     Chart {
-        /// The file.
+        /// The file of the chart.
         path: PathBuf,
         /// The underlying error.
         source: DrawingAreaErrorKind<io::Error>,
@@ -72,7 +72,7 @@
     /// A snapshot directory cannot be locked.
     #[error("{}: {source}", path.display())]
     Lock {
-        /// The directory.
+        /// The snapshot directory.
         path: PathBuf,
         /// The underlying error.
         source: LockError,
@@ -80,7 +80,7 @@
     /// A snapshot cannot be saved.
     #[error("{}: {source}", path.display())]
     Save {
-        /// The directory.
+        /// The directory in which the snapshot was to be saved.
         path: PathBuf,
         /// The underlying error.
         source: SaveError,
@@ -112,7 +112,8 @@
         max_false_rollback_percent: f64,
         /// Limit on the share of harmful builds not rolled back, in percent.
         max_missed_percent: f64,
-        /// `broken`, or `not shown` if a limit lies within the confidence interval.
+        /// `broken` if the confidence interval of at least one rate lies entirely above its limit.
+        /// Otherwise `not shown`: at least one interval contains its limit, and none lies above.
         finding: &'static str,
     },
 
--- a/crates/experiments/src/restart/configuration.rs
+++ b/crates/experiments/src/restart/configuration.rs
@@ -1,4 +1,6 @@
-//! The files with which a proxy instance is started: its configuration and the operators' file.
+//! The files with which a proxy instance is started: its configuration and the operators' file. The
+//! operators' file turns on what an installation uses beyond the platform's settings; here, the
+//! snapshot directory, the interval between saves and the time limit of the last save.
 
 use std::fs;
 use std::net::SocketAddr;
--- a/crates/experiments/src/restart/instance.rs
+++ b/crates/experiments/src/restart/instance.rs
@@ -28,7 +28,8 @@
     pub(super) program: &'a Path,
     /// Path of the configuration file.
     pub(super) configuration: &'a Path,
-    /// Path of the operators' file, if there is one.
+    /// Path of the operators' file, if there is one. Without one, the instance neither
+    /// saves nor restores a snapshot.
     pub(super) operators_file: Option<PathBuf>,
     /// Address on which the instance will listen, from its configuration.
     pub(super) listen: SocketAddr,
--- a/crates/experiments/src/verdicts.rs
+++ b/crates/experiments/src/verdicts.rs
@@ -35,7 +35,9 @@
 }
 
 impl Fleet {
-    /// Returns the simulated size. The words of the option differ from the names of the sizes.
+    /// Returns the simulated size. The variants keep the words of the option `--fleet` and of the
+    /// printed tables, so that existing commands and results stay valid; in the code of the
+    /// simulation, `grown` is [`FleetSize::MEDIUM`] and `huge` is [`FleetSize::LARGE`].
     fn size(self) -> FleetSize {
         match self {
             Fleet::Small => FleetSize::SMALL,
