--- a/crates/policy/src/rollout/evaluator.rs
+++ b/crates/policy/src/rollout/evaluator.rs
@@ -182,7 +182,7 @@
         let mut evidence = self.outcomes.evidence(rollout.build, fleet, now);
         evidence.set_fleet_baseline(self.fleet_baseline.arm_with_prior());
         let bounds = WaldBounds::new(ALPHA, BETA);
-        let instance_margin = instance_margin(bounds, &context.settings);
+        let instance_count_margin = instance_count_margin(bounds, &context.settings);
         let mut releases_hold = now >= rollout.since + MAX_HOLD_TIME;
         // A build that was rejected before a restart counts as having a positive score, so that it
         // is held for as long as a hold may last if it is rolled out again.
@@ -192,7 +192,7 @@
             let Some(scores) = self.scores(&evidence, test) else {
                 continue;
             };
-            let score = scores.mixture - evidence_margin(&evidence, test) - instance_margin;
+            let score = scores.mixture - evidence_margin(&evidence, test) - instance_count_margin;
             if score >= bounds.upper
                 && own_outcomes_agree(&evidence, test)
                 && self.reject(rollout.build, now)
@@ -300,9 +300,10 @@
     }
 }
 
-/// Returns the part of the margin above the upper bound that a score needs because many instances
-/// vote. [`evidence_margin`] is the other part.
-fn instance_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
+/// Returns the margin that is subtracted from a score before it is compared with the upper bound,
+/// so that false votes of many instances seldom suffice for a rollback. [`evidence_margin`] is
+/// subtracted as well.
+fn instance_count_margin(bounds: WaldBounds, settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
     let votes = f64::from(settings.rollback_votes.max(1));
     bounds.instance_margin(instances, votes, SQRT_VOTES_OFFSET)
@@ -317,9 +318,9 @@
     own.failures >= 1.0 && is_worse || evidence.restored_candidate(test).outcomes == 0.0
 }
 
-/// Returns the part of the margin above the upper bound that a score needs because of its test and
-/// evidence; [`instance_margin`] is the other part. It grows as the outcomes come from fewer
-/// endpoints, because a single endpoint may be affected by a noisy neighbour.
+/// Returns the margin that is subtracted from a score, in addition to [`instance_count_margin`],
+/// because of its test and evidence. It grows as the outcomes come from fewer endpoints, because a
+/// single endpoint may be affected by a noisy neighbour.
 fn evidence_margin(evidence: &Evidence, test: EvidenceTest) -> f64 {
     // Without a concurrent baseline, the errors may have been caused by a few endpoints rather than
     // by the build, so the larger margin applies.
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -16,9 +16,10 @@
 use crate::types::{AttemptOutcome, EndpointIndex, Timestamp, fractional_micros};
 
 /// A response is slow if its latency exceeds both the baseline latency of its hardware class times
-/// this factor, and the latency that the endpoint's load explains times [`LOAD_FACTOR`].
+/// this factor, and the baseline latency scaled to the endpoint's load times [`LOAD_FACTOR`].
 const SLOW_FACTOR: f64 = 2.0;
-/// Tolerance over the baseline latency scaled to the endpoint's load; see [`SLOW_FACTOR`].
+/// A response is slow only if its latency exceeds the baseline latency scaled to the endpoint's
+/// load times this factor.
 const LOAD_FACTOR: f64 = 1.35;
 /// Connection resets at an endpoint within this time after a crash are attributed to that crash.
 const CRASH_WINDOW: Duration = Duration::from_secs(1);
--- a/crates/policy/src/rollout/parameters.rs
+++ b/crates/policy/src/rollout/parameters.rs
@@ -82,8 +82,8 @@
 /// The largest number of outcomes from before a restart that count for the baseline.
 pub(super) const MAX_RESTORED_BASELINE_OUTCOMES: f64 = 2.0 * MIN_OUTCOMES;
 
-/// Outcomes of the prior that is added to the fleet baseline, and to the baseline of the errors
-/// while no baseline endpoint is in service.
+/// Number of outcomes of the prior that is added to the fleet baseline, and to the baseline arm of
+/// the test for errors while no baseline endpoint is in service.
 pub(super) const PRIOR_OUTCOMES: f64 = MIN_OUTCOMES;
 /// Failures among [`PRIOR_OUTCOMES`].
 pub(super) const PRIOR_FAILURES: f64 = 0.15 * MIN_OUTCOMES;
--- a/crates/policy/src/rollout/voting.rs
+++ b/crates/policy/src/rollout/voting.rs
@@ -126,8 +126,8 @@
 /// Returns the probability with which an instance casts a due vote in one evaluation.
 fn vote_probability(settings: &Settings) -> f64 {
     let instances = f64::from(settings.instance_count);
-    let lifetime = whole_micros(settings.vote_lifetime) as f64;
-    settings.votes_per_second * lifetime / HALF_LIFETIME_DIVISOR / instances
+    let lifetime_micros = whole_micros(settings.vote_lifetime) as f64;
+    settings.votes_per_second * lifetime_micros / HALF_LIFETIME_DIVISOR / instances
 }
 
 /// Returns how this instance should vote on the newest build.
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Accumulators, and the formulas of the sequential test. All tunable parameters are passed in by
-//! the callers.
+//! Decaying sums, means and rates, sliding windows, and the formulas of the sequential probability
+//! ratio test that compares a build with its baseline. The callers pass in all tunable parameters.
 
 mod arm;
 mod decaying_mean;
--- a/crates/policy/src/warm_up/capacity.rs
+++ b/crates/policy/src/warm_up/capacity.rs
@@ -66,9 +66,9 @@
                 weight: all.weight + class.weight,
             });
         let by_preference = [sums[class.get()], all];
-        let sufficient_sums = by_preference
+        let class_or_total_sums = by_preference
             .into_iter()
             .find(|sums| sums.weight >= MIN_SECONDS_IN_SERVICE);
-        sufficient_sums.map(|sums| sums.sum / sums.weight)
+        class_or_total_sums.map(|sums| sums.sum / sums.weight)
     }
 }
