--- a/crates/experiments/src/restart/run.rs
+++ b/crates/experiments/src/restart/run.rs
@@ -232,7 +232,7 @@
         let counts = self
             .endpoints
             .iter()
-            .map(|endpoint| endpoint.behavior.requests.load(Relaxed) as f64);
+            .map(|endpoint| endpoint.behavior.request_count.load(Relaxed) as f64);
         RequestCounts(counts.collect())
     }
 
--- a/crates/experiments/src/stand_ins/endpoint.rs
+++ b/crates/experiments/src/stand_ins/endpoint.rs
@@ -29,12 +29,12 @@
     /// Whether the endpoint leaves all queries unanswered, including health checks.
     pub unresponsive: AtomicBool,
     /// Number of requests received, not counting health checks.
-    pub requests: AtomicU64,
+    pub request_count: AtomicU64,
 }
 
 impl Behavior {
-    /// Returns the delay of an answer, between 75% and 125% of the mean depending on the number of
-    /// the request.
+    /// Returns the delay of an answer, between 75% and 125% of the mean. Multiplying the number of
+    /// the request by 7 modulo 16 spreads consecutive requests over 16 delays.
     fn delay_of(&self, request: u64) -> Duration {
         let mean_micros = self.delay_ms.load(Relaxed) * 1000;
         let jitter = mean_micros / 2 * (request * 7 % 16) / 16;
@@ -93,7 +93,7 @@
         let number = if is_health_check {
             0
         } else {
-            behavior.requests.fetch_add(1, Relaxed)
+            behavior.request_count.fetch_add(1, Relaxed)
         };
         if behavior.unresponsive.load(Relaxed) {
             thread::sleep(UNRESPONSIVE_TIME);
--- a/crates/proxy/src/clients/lifecycle.rs
+++ b/crates/proxy/src/clients/lifecycle.rs
@@ -95,8 +95,8 @@
             return context.io.deadlines.set(owner, deadline);
         }
         if entry.stage != Stage::Closing && !client.connection.read_would_block() {
-            // Bytes are unread, because no buffer was free or because of the limit on reads: they
-            // may hold a complete request.
+            // No buffer was free, or the limit on reads was reached, so bytes are still unread. The
+            // unread bytes may contain a complete request.
             let retry_at = context.io.now + MIN_STAGE_AGE;
             return context.io.deadlines.set(owner, retry_at);
         }
--- a/crates/proxy/src/upstream/ending.rs
+++ b/crates/proxy/src/upstream/ending.rs
@@ -119,8 +119,9 @@
 }
 
 impl Exchange {
-    /// Forwards the response or the rejection of an invalid request to the client, and notifies the
-    /// policy of the end.
+    /// Notifies the policy that the exchange has ended. Before that, if the exchange is an attempt,
+    /// forwards the response to the client if the attempt succeeded, or rejects the client's
+    /// request if the endpoint found it invalid.
     fn finish(
         mut self,
         endpoint: String,
--- a/crates/snapshot/src/expiry/lifetime.rs
+++ b/crates/snapshot/src/expiry/lifetime.rs
@@ -42,7 +42,7 @@
         max_age: Duration::from_secs(3600),
     };
     /// The last known endpoint list and rollout status, for starts without discovery.
-    const LAST_KNOWN: Lifetime = Lifetime {
+    const LAST_KNOWN_STATE: Lifetime = Lifetime {
         half_life: Duration::from_secs(3600),
         max_age: Duration::from_secs(30 * 24 * 3600),
     };
@@ -63,7 +63,7 @@
             Record::FleetBaseline(_) | Record::Zones(_) => Lifetime::FLEET,
             Record::HardwareClass(_) | Record::Route(_) => Lifetime::BASELINE,
             Record::KeyBuild(_) => Lifetime::KEY_BUILD,
-            Record::ListedEndpoint(_) | Record::Rollout(_) => Lifetime::LAST_KNOWN,
+            Record::ListedEndpoint(_) | Record::Rollout(_) => Lifetime::LAST_KNOWN_STATE,
         }
     }
 
